--- a/include/dragonflymill/direct/attempt_rules.h
+++ b/include/dragonflymill/direct/attempt_rules.h
@@ -57,13 +57,13 @@
 
 /// No attempt begins with less time than this left: a plain call takes some 20 ms and a connection 3 ms, so
 /// its answer would come too late and the work would be for nothing.
-inline constexpr duration least_time_for_attempt = 30ms;
+inline constexpr duration min_attempt_time = 30ms;
 
 /// Decides what follows an attempt that ended without an answer.
 ///
 /// Guards against running a call twice: an upstream that fell silent may have run it, and a second attempt
 /// would then book twice. Only calls that may be repeated go on after such an end; a refusal that the caller
 /// may take as "not run" is given only if no attempt can have run.
-[[nodiscard]] auto after_attempt(attempt_end end, const request_progress& progress) -> next_step;
+[[nodiscard]] auto decide_next_step(attempt_end end, const request_progress& progress) -> next_step;
 
 } // namespace dragonflymill::direct
--- a/include/dragonflymill/direct/call_dispatcher.h
+++ b/include/dragonflymill/direct/call_dispatcher.h
@@ -2,12 +2,12 @@
 
 #include "dragonflymill/core/time.h"
 #include "dragonflymill/direct/call_attempts.h"
-#include "dragonflymill/direct/cold_share.h"
+#include "dragonflymill/direct/cold_start_limiter.h"
 #include "dragonflymill/direct/dispatch_policy.h"
 #include "dragonflymill/direct/first_token_times.h"
-#include "dragonflymill/direct/load_board.h"
+#include "dragonflymill/direct/load_tracker.h"
 #include "dragonflymill/direct/retry_window.h"
-#include "dragonflymill/direct/saturation_clock.h"
+#include "dragonflymill/direct/saturation_tracker.h"
 #include "dragonflymill/direct/upstream_health.h"
 #include "dragonflymill/direct/upstream_list.h"
 
@@ -28,13 +28,13 @@
     std::string service;                      ///< Where it has to run.
     std::int64_t prompt_tokens = 0;           ///< 0 for plain services.
     std::int64_t answer_tokens = 0;           ///< Most tokens of the answer.
-    duration pause_aim{};                     ///< Longest pause between its events that is on time; 0: none.
+    duration tbt_target{};                    ///< Longest pause between its events that is on time; 0: none.
     int priority = 0;                         ///< 0 goes first.
-    instant aim_at{};                         ///< An answer that begins later is late.
-    duration aim{};                           ///< The whole time from arrival to `aim_at`.
-    instant leaves_at{};                      ///< When the caller leaves without an answer.
-    instant limit_at{};                       ///< When its time ends, returns included.
-    instant give_up_at{};                     ///< Refused if it still waits then.
+    instant latency_target_at{};              ///< An answer that begins later is late.
+    duration aim{};                           ///< The whole time from arrival to `latency_target_at`.
+    instant client_timeout_at{};              ///< When the caller leaves without an answer.
+    instant deadline_at{};                    ///< When its time ends, returns included.
+    instant queue_timeout_at{};               ///< Refused if it still waits then.
     instant not_before{};                     ///< Not sent earlier.
     call_attempts attempts;                   ///< What was tried so far.
     wait_reason obstacle = wait_reason::none; ///< What kept it from being placed last; set by the dispatcher.
@@ -43,25 +43,25 @@
 };
 
 /// An engine that reads a part of a prompt, with its address.
-struct dispatch_helper
+struct prefill_engine
 {
     upstream_entry upstream;          ///< The engine.
     std::int64_t reserved_tokens = 0; ///< Memory to be reserved there before the call is sent; 0: none.
 
-    friend auto operator==(const dispatch_helper&, const dispatch_helper&) -> bool = default;
+    friend auto operator==(const prefill_engine&, const prefill_engine&) -> bool = default;
 };
 
 /// A call is to be sent now. Its load is on the board; `finish` takes it off.
-struct dispatch_order
+struct dispatch_assignment
 {
-    std::uint64_t call = 0;                     ///< Which.
-    placement_id placed = 0;                    ///< Its place on the board.
-    dispatch_choice choice;                     ///< Where and why.
-    upstream_entry upstream;                    ///< Answers it.
-    std::vector<dispatch_helper> helpers;       ///< Read a part of its prompt each.
-    wait_reason waited_for = wait_reason::none; ///< What kept it from being placed last.
-
-    friend auto operator==(const dispatch_order&, const dispatch_order&) -> bool = default;
+    std::uint64_t call = 0;                      ///< Which.
+    placement_id placed = 0;                     ///< Its place on the board.
+    dispatch_choice choice;                      ///< Where and why.
+    upstream_entry upstream;                     ///< Answers it.
+    std::vector<prefill_engine> prefill_engines; ///< Read a part of its prompt each.
+    wait_reason waited_for = wait_reason::none;  ///< What kept it from being placed last.
+
+    friend auto operator==(const dispatch_assignment&, const dispatch_assignment&) -> bool = default;
 };
 
 /// A call can't be served in time.
@@ -77,16 +77,16 @@
 /// What became of the calls that waited.
 struct dispatch_round
 {
-    std::vector<dispatch_order> orders;     ///< To be sent.
-    std::vector<dispatch_refusal> refusals; ///< To be answered.
+    std::vector<dispatch_assignment> orders; ///< To be sent.
+    std::vector<dispatch_refusal> refusals;  ///< To be answered.
 };
 
 /// Settings of a dispatch dispatcher.
 struct dispatch_settings
 {
-    std::string failure_domain; ///< Where this gateway runs.
-    retry_bounds retries;       ///< Of second attempts.
-    std::uint64_t seed = 0;     ///< Differs from gateway to gateway.
+    std::string failure_domain;  ///< Where this gateway runs.
+    retry_budget_limits retries; ///< Of second attempts.
+    std::uint64_t seed = 0;      ///< Differs from gateway to gateway.
 };
 
 /// Holds the calls that have no upstream yet and decides where and when each goes.
@@ -115,12 +115,12 @@
     /// A placed call is over.
     void finish(placement_id placed, instant now);
     /// Whether a second attempt at this service would be allowed.
-    [[nodiscard]] auto retry_left(const std::string& service, instant now) -> bool;
+    [[nodiscard]] auto retry_allowed(const std::string& service, instant now) -> bool;
 
     /// How calls to upstreams ended.
     [[nodiscard]] auto health() -> upstream_health& { return health_; }
     /// Work in hand everywhere.
-    [[nodiscard]] auto board() -> load_board& { return board_; }
+    [[nodiscard]] auto loads() -> load_tracker& { return board_; }
     /// Calls that wait.
     [[nodiscard]] auto waiting() const -> std::size_t { return waiting_.size(); }
     /// Gateways that share bounds with this one, itself included.
@@ -163,12 +163,12 @@
     [[nodiscard]] auto choose_among(const upstream_list& fleet, const waiting_call& call, instant now,
                                     std::span<const dispatch_candidate> found) const -> dispatch_decision;
     void refresh_load(dispatch_candidate& candidate, instant now) const;
-    void refresh(const upstream_list& fleet, const dispatch_order& order, instant now,
+    void refresh(const upstream_list& fleet, const dispatch_assignment& order, instant now,
                  std::vector<dispatch_candidate>& candidates) const;
     [[nodiscard]] auto cold_full(const upstream_list& fleet, const upstream_state& upstream,
                                  instant now) const -> bool;
     [[nodiscard]] auto order_for(const upstream_list& fleet, const waiting_call& call,
-                                 const dispatch_choice& choice, instant now) -> dispatch_order;
+                                 const dispatch_choice& choice, instant now) -> dispatch_assignment;
     [[nodiscard]] auto any_upstream(const upstream_list& fleet, const std::string& service) const -> bool;
     [[nodiscard]] auto cold_rate(const upstream_list& fleet, const upstream_state& upstream,
                                  instant now) const -> double;
@@ -183,14 +183,14 @@
         -> std::optional<dispatch_refusal>;
 
     dispatch_settings settings_;
-    load_board board_;
+    load_tracker board_;
     upstream_health health_;
-    std::unordered_map<std::string, cold_share> cold_;
+    std::unordered_map<std::string, cold_start_limiter> cold_;
     std::unordered_map<std::string, retry_window> retries_;
     std::vector<waiting_call> waiting_;
     /// Calls that found no room, and since when there is room again; nothing: there is none.
     std::unordered_map<std::uint64_t, std::optional<instant>> room_since_;
-    std::map<call_class, saturation_clock> saturated_;
+    std::map<call_class, saturation_tracker> saturated_;
     first_token_times first_tokens_;
     int gateways_ = 1;
 };
--- a/include/dragonflymill/direct/return_detector.h
+++ b/include/dragonflymill/direct/client_retry_detector.h
@@ -11,7 +11,7 @@
 ///
 /// A caller that returns has less time left than one that just began, and no name that a refusal could have
 /// given it. The longest time that callers of the same route state is taken for the whole time of each.
-class return_detector
+class client_retry_detector
 {
 public:
     /// Notes the time left that a caller of `route` states, and returns how long ago its first attempt began:
--- a/include/dragonflymill/direct/cold_share.h
+++ b/include/dragonflymill/direct/cold_start_limiter.h
@@ -6,7 +6,7 @@
 
 /// Calls that this gateway may send to one cold upstream. An upstream in cold start crashes at a rate well
 /// above what it bears; each gateway keeps to its part of that rate, so that the sum over all holds.
-class cold_share
+class cold_start_limiter
 {
 public:
     /// Takes one call; false if it has to go elsewhere. `calls_per_s` is what the upstream bears from all
--- a/include/dragonflymill/direct/dispatch_call.h
+++ b/include/dragonflymill/direct/dispatch_call.h
@@ -2,7 +2,7 @@
 
 #include "dragonflymill/core/time.h"
 #include "dragonflymill/direct/engine_forecast.h"
-#include "dragonflymill/direct/load_board.h"
+#include "dragonflymill/direct/load_tracker.h"
 
 #include <cstdint>
 #include <string>
@@ -15,7 +15,7 @@
 {
     std::int64_t prompt_tokens = 0; ///< 0 for plain services.
     std::int64_t answer_tokens = 0; ///< Most tokens of the answer.
-    duration pause_aim{};           ///< Longest pause between its events that is on time; 0: none.
+    duration tbt_target{};          ///< Longest pause between its events that is on time; 0: none.
     duration time_to_leave{};       ///< Left until the caller leaves without an answer.
     duration time_to_aim{};         ///< Left until an answer would be late; negative once it is.
     std::string failure_domain;     ///< Domain of this gateway; preferred among equals.
@@ -58,14 +58,14 @@
 /// Where a call goes.
 struct dispatch_choice
 {
-    std::string upstream;              ///< Answers it.
-    std::vector<helper_share> helpers; ///< Read a part of its prompt each.
-    bool is_long = false;              ///< Whether its prompt counts as long.
-    duration reading{};                ///< Reading at each of them.
-    duration first_token{};            ///< Expected until the first token.
-    std::int64_t memory_tokens = 0;    ///< Filled at `upstream`.
-    upstream_load load;                ///< Work in hand at `upstream` when it was chosen.
-    std::string reason;                ///< For the log: what decided.
+    std::string upstream;                      ///< Answers it.
+    std::vector<helper_share> prefill_engines; ///< Read a part of its prompt each.
+    bool is_long = false;                      ///< Whether its prompt counts as long.
+    duration reading{};                        ///< Reading at each of them.
+    duration first_token{};                    ///< Expected until the first token.
+    std::int64_t memory_tokens = 0;            ///< Filled at `upstream`.
+    upstream_load load;                        ///< Work in hand at `upstream` when it was chosen.
+    std::string reason;                        ///< For the log: what decided.
 
     friend auto operator==(const dispatch_choice&, const dispatch_choice&) -> bool = default;
 };
@@ -85,7 +85,7 @@
 /// Engine memory that a call fills in the end, in tokens.
 [[nodiscard]] auto memory_need(const call_shape& call) -> std::int64_t;
 /// Engine memory that is neither filled nor promised, in tokens.
-[[nodiscard]] auto free_memory(const engine_figures& figures, const dispatch_candidate& engine)
+[[nodiscard]] auto free_memory(const engine_profile& figures, const dispatch_candidate& engine)
     -> std::int64_t;
 
 /// Part of an engine's memory that reservations and prompts fill: answers grow beyond their estimate.
--- a/include/dragonflymill/direct/dispatch_policy.h
+++ b/include/dragonflymill/direct/dispatch_policy.h
@@ -3,7 +3,7 @@
 #include "dragonflymill/core/time.h"
 #include "dragonflymill/direct/dispatch_call.h"
 #include "dragonflymill/direct/engine_forecast.h"
-#include "dragonflymill/direct/reading_plan.h"
+#include "dragonflymill/direct/prefill_plan.h"
 
 #include <cstdint>
 #include <optional>
@@ -42,8 +42,8 @@
 class engine_dispatch
 {
 public:
-    /// For engines with these figures; `tightest_pause` is the shortest pause aim of their streams.
-    engine_dispatch(const engine_figures& figures, duration tightest_pause);
+    /// For engines with these figures; `tightest_tbt_target` is the shortest pause aim of their streams.
+    engine_dispatch(const engine_profile& figures, duration tightest_tbt_target);
 
     /// The choice; nothing while the call had better wait.
     [[nodiscard]] auto choose(const call_shape& call, std::span<const dispatch_candidate> candidates) const
--- a/include/dragonflymill/direct/engine_forecast.h
+++ b/include/dragonflymill/direct/engine_forecast.h
@@ -12,7 +12,7 @@
 {
 public:
     /// For engines with these figures.
-    explicit engine_forecast(const engine_figures& figures)
+    explicit engine_forecast(const engine_profile& figures)
         : figures_(figures)
     {
     }
@@ -24,10 +24,10 @@
     /// Length of a pass with `writers` streams of `context_tokens` each and no reading.
     [[nodiscard]] auto pass(int writers, std::int64_t context_tokens) const -> duration;
     /// The figures.
-    [[nodiscard]] auto figures() const -> const engine_figures& { return figures_; }
+    [[nodiscard]] auto figures() const -> const engine_profile& { return figures_; }
 
 private:
-    engine_figures figures_;
+    engine_profile figures_;
 };
 
 } // namespace dragonflymill::direct
--- a/include/dragonflymill/direct/event_relay.h
+++ b/include/dragonflymill/direct/event_relay.h
@@ -36,7 +36,7 @@
     /// A new attempt begins: forgets the part of an event that the last one left.
     void begin_attempt() { rest_.clear(); }
     /// Whether a part of an event is left, so that the stream can't end here.
-    [[nodiscard]] auto inside_event() const -> bool { return !rest_.empty(); }
+    [[nodiscard]] auto has_partial_event() const -> bool { return !rest_.empty(); }
     /// Id of the last event passed on; empty before the first.
     [[nodiscard]] auto last_id() const -> const std::string& { return last_id_; }
 
--- a/include/dragonflymill/direct/first_token_times.h
+++ b/include/dragonflymill/direct/first_token_times.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "dragonflymill/core/time.h"
-#include "dragonflymill/direct/load_board.h"
+#include "dragonflymill/direct/load_tracker.h"
 
 #include <compare>
 #include <map>
@@ -13,8 +13,8 @@
 /// Calls that are alike in where they go and how soon their answer is wanted.
 struct call_class
 {
-    std::string service;  ///< Where they run.
-    duration pause_aim{}; ///< Longest pause between their events that is on time; 0 for plain calls.
+    std::string service;   ///< Where they run.
+    duration tbt_target{}; ///< Longest pause between their events that is on time; 0 for plain calls.
 
     // NOLINTNEXTLINE(modernize-use-nullptr): the linter takes the zero of a rewritten a < b for a pointer
     friend auto operator<=>(const call_class&, const call_class&) -> std::strong_ordering = default;
--- a/include/dragonflymill/direct/fleet_config.h
+++ b/include/dragonflymill/direct/fleet_config.h
@@ -22,12 +22,12 @@
 };
 
 /// A service that takes a part of a route's calls.
-struct service_share
+struct weighted_service
 {
     std::string service;      ///< The service's name.
     std::uint32_t weight = 1; ///< Its part, relative to the other services of the route.
 
-    friend auto operator==(const service_share&, const service_share&) -> bool = default;
+    friend auto operator==(const weighted_service&, const weighted_service&) -> bool = default;
 };
 
 /// Which calls go to which services, and within which bounds.
@@ -38,13 +38,13 @@
     std::string path_prefix;                    ///< Begins and ends with a slash.
     call_kind kind = call_kind::non_idempotent; ///< What may be repeated.
     duration time_limit{};                      ///< Longest time that a caller is kept waiting.
-    duration answer_aim{};               ///< An answer, or a stream's first event, is on time within it.
-    duration pause_aim{};                ///< Longest pause between two events that is on time; 0: none.
-    int priority = 0;                    ///< 0 is the highest.
-    std::vector<service_share> services; ///< Never empty.
-    int max_attempts = 1;                ///< Upstreams that one call may run at.
-    bool anonymous = false;              ///< Whether no key is asked for.
-    bool resumable = false;              ///< Whether a stream may go on at another upstream.
+    duration latency_target{};              ///< An answer, or a stream's first event, is on time within it.
+    duration tbt_target{};                  ///< Longest pause between two events that is on time; 0: none.
+    int priority = 0;                       ///< 0 is the highest.
+    std::vector<weighted_service> services; ///< Never empty.
+    int max_attempts = 1;                   ///< Upstreams that one call may run at.
+    bool anonymous = false;                 ///< Whether no key is asked for.
+    bool resumable = false;                 ///< Whether a stream may go on at another upstream.
 
     /// The service that a request goes to, by its name and the services' weights: the same one at each
     /// gateway and each attempt.
@@ -59,19 +59,19 @@
 };
 
 /// What an engine's operator states of its speed and size. Times are of one replica at normal pace.
-struct engine_figures
+struct engine_profile
 {
-    int slots = 1;                       ///< Requests that run at once.
-    std::int64_t memory_tokens = 0;      ///< Tokens that its memory holds.
-    int steps_per_pass = 1;              ///< Steps of a pass that includes a writer.
-    double step_ms = 1.0;                ///< Each token step takes so long at least.
-    double step_ms_per_writer = 0.0;     ///< And so much more for each request that is writing.
-    double step_ms_per_1k_context = 0.0; ///< And so much more for each 1,000 tokens of its context.
-    double read_tokens_per_ms = 1.0;     ///< Prompt tokens read in a millisecond.
-    double pairs_ms_per_million = 0.0;   ///< Time for a million pairs of a token with an earlier one.
-    int chunk_tokens = 0;                ///< Prompt tokens read in one step at most.
-
-    friend auto operator==(const engine_figures&, const engine_figures&) -> bool = default;
+    int slots = 1;                               ///< Requests that run at once.
+    std::int64_t memory_tokens = 0;              ///< Tokens that its memory holds.
+    int steps_per_pass = 1;                      ///< Steps of a pass that includes a writer.
+    double step_ms = 1.0;                        ///< Each token step takes so long at least.
+    double step_ms_per_decode = 0.0;             ///< And so much more for each request that is writing.
+    double step_ms_per_1k_context = 0.0;         ///< And so much more for each 1,000 tokens of its context.
+    double prefill_tokens_per_ms = 1.0;          ///< Prompt tokens read in a millisecond.
+    double attention_ms_per_million_pairs = 0.0; ///< Time for a million pairs of a token with an earlier one.
+    int prefill_chunk_tokens = 0;                ///< Prompt tokens read in one step at most.
+
+    friend auto operator==(const engine_profile&, const engine_profile&) -> bool = default;
 };
 
 /// A service and what its upstreams bear.
@@ -81,7 +81,7 @@
     int max_connections = 0;       ///< Connections that one upstream accepts from all callers together.
     duration cold_time{};          ///< An upstream is cold for so long after its start.
     double cold_calls_per_s = 0.0; ///< Calls a second that a cold upstream bears; 0: it is never cold.
-    std::optional<engine_figures> engine; ///< Present for model engines.
+    std::optional<engine_profile> engine; ///< Present for model engines.
 
     friend auto operator==(const service_rule&, const service_rule&) -> bool = default;
 };
@@ -118,7 +118,7 @@
         std::vector<route_rule> routes;     ///< All routes.
         std::vector<service_rule> services; ///< All services.
         std::vector<account_rule> accounts; ///< All accounts.
-        bool keys_needed = false;           ///< Whether accounts are configured at all.
+        bool requires_api_key = false;      ///< Whether accounts are configured at all.
         caller_limits limits;               ///< For callers.
     };
 
@@ -130,20 +130,20 @@
     /// What callers may send.
     [[nodiscard]] auto limits() const -> const caller_limits& { return parts_.limits; }
     /// Whether a route that isn't anonymous asks for a key.
-    [[nodiscard]] auto keys_needed() const -> bool { return parts_.keys_needed; }
+    [[nodiscard]] auto requires_api_key() const -> bool { return parts_.requires_api_key; }
     /// The route of this host whose prefix is the longest that begins `path`; nothing if none does.
-    [[nodiscard]] auto route_of(std::string_view host, std::string_view path) const -> const route_rule*;
+    [[nodiscard]] auto match_route(std::string_view host, std::string_view path) const -> const route_rule*;
     /// The account that holds `key`.
-    [[nodiscard]] auto account_of(const std::string& key) const -> const account_rule*;
+    [[nodiscard]] auto find_account(const std::string& key) const -> const account_rule*;
     /// The service with this name.
-    [[nodiscard]] auto service_of(const std::string& name) const -> const service_rule*;
+    [[nodiscard]] auto find_service(const std::string& name) const -> const service_rule*;
     /// All routes.
     [[nodiscard]] auto routes() const -> const std::vector<route_rule>& { return parts_.routes; }
     /// All services.
     [[nodiscard]] auto services() const -> const std::vector<service_rule>& { return parts_.services; }
     /// The shortest pause aim of the streams that go to this service; nothing without one. Work at its
     /// engines that holds a pass up for longer makes some stream late.
-    [[nodiscard]] auto tightest_pause(const std::string& service) const -> std::optional<duration>;
+    [[nodiscard]] auto tightest_tbt_target(const std::string& service) const -> std::optional<duration>;
 
 private:
     parts parts_;
--- a/include/dragonflymill/direct/fleet_records.h
+++ b/include/dragonflymill/direct/fleet_records.h
@@ -22,13 +22,13 @@
 };
 
 /// A part of the records, as one process hands it to another.
-struct records_extract
+struct records_update
 {
     std::vector<fleet_record> records; ///< The records.
     std::uint64_t as_of = 0;           ///< All changes up to this revision are in `records` or were known.
     bool whole = false;                ///< Whether a record that isn't among them doesn't exist.
 
-    friend auto operator==(const records_extract&, const records_extract&) -> bool = default;
+    friend auto operator==(const records_update&, const records_update&) -> bool = default;
 };
 
 /// The published records that this process knows, whatever source they came from. The newest revision of
@@ -39,11 +39,11 @@
     /// Takes one change; false if a change that is as new is known already.
     auto apply(const fleet_record& change) -> bool;
     /// Takes an extract; gives the changes that were news, removals by absence included.
-    [[nodiscard]] auto apply(const records_extract& extract) -> std::vector<fleet_record>;
+    [[nodiscard]] auto apply(const records_update& extract) -> std::vector<fleet_record>;
     /// Notes that all changes up to `revision` have been taken.
     void advance(std::uint64_t revision);
     /// What a process that knows all up to `after` lacks.
-    [[nodiscard]] auto since(std::uint64_t after) const -> records_extract;
+    [[nodiscard]] auto since(std::uint64_t after) const -> records_update;
 
     /// All changes up to this revision are known; 0 before the first listing.
     [[nodiscard]] auto revision() const -> std::uint64_t { return revision_; }
--- a/include/dragonflymill/direct/gossip_relay.h
+++ b/include/dragonflymill/direct/gossip_relay.h
@@ -52,7 +52,7 @@
     /// A datagram came: notes subscriptions and what its relay sent, and gathers what is to be forwarded.
     void take(const peer_datagram& datagram, instant now);
     /// A relay's own digest, to be forwarded like those of its subscribers.
-    void add_own(const peer_message& message);
+    void enqueue_own(const peer_message& message);
     /// What was gathered since the last call.
     [[nodiscard]] auto take_batch() -> relay_batch;
     /// When what was gathered has to be sent; nothing if nothing was.
--- a/include/dragonflymill/direct/gossip_schedule.h
+++ b/include/dragonflymill/direct/gossip_schedule.h
@@ -9,14 +9,14 @@
 namespace dragonflymill::direct {
 
 /// What the next digest of a gateway would state.
-struct gossip_state
+struct digest_state
 {
     std::uint64_t load_changes = 0; ///< Rises whenever its own work in hand changes.
     std::uint64_t revision = 0;     ///< Newest change of the published records that it knows.
     int gateways = 1;               ///< Gateways of the fleet, itself included.
     bool relayed = false;           ///< A relay forwards its digests.
 
-    friend auto operator==(const gossip_state&, const gossip_state&) -> bool = default;
+    friend auto operator==(const digest_state&, const digest_state&) -> bool = default;
 };
 
 /// A digest that is to be sent now.
@@ -36,7 +36,7 @@
 {
 public:
     /// The digest to be sent now; nothing if none is due. `at_once`: there is news that can't wait.
-    [[nodiscard]] auto next(const gossip_state& state, bool at_once, instant now)
+    [[nodiscard]] auto next(const digest_state& state, bool at_once, instant now)
         -> std::optional<due_digest>;
 
     /// Digests about new work go out at most this often: within it another gateway may choose the same
@@ -56,7 +56,7 @@
     static constexpr std::size_t repeats_of_change = 3;
 
 private:
-    gossip_state sent_;
+    digest_state sent_;
     instant sent_at_{};
     instant full_sent_at_{};
     std::array<std::uint64_t, repeats_of_change> changes_before_{}; // at the last digests, the oldest first
--- a/include/dragonflymill/direct/load_board.h
+++ b/include/dragonflymill/direct/load_tracker.h
@@ -24,9 +24,9 @@
     std::int32_t unread_calls = 0;  ///< Of the long calls, the ones whose prompt isn't read yet.
     std::int32_t parts = 0;         ///< Prompts of others that it reads a part of.
     std::int64_t memory_tokens = 0; ///< Engine memory that these calls fill in the end.
-    duration reading{};             ///< Reading that is still to be done, as far as is known.
+    duration pending_prefill{};     ///< Reading that is still to be done, as far as is known.
     std::int32_t suspected_by = 0;  ///< Gateways that find it faulty now.
-    duration tightest_pause{};      ///< Shortest pause aim of the streams that it writes; 0: none has one.
+    duration tightest_tbt_target{}; ///< Shortest pause aim of the streams that it writes; 0: none has one.
 
     friend auto operator==(const upstream_load&, const upstream_load&) -> bool = default;
 };
@@ -44,7 +44,7 @@
 {
     std::string gateway;        ///< Who.
     std::uint64_t sequence = 0; ///< Rises with each report of one start of a gateway.
-    bool whole = true;          ///< Whether an upstream that isn't in `loads` has no work of it.
+    bool is_complete = true;    ///< Whether an upstream that isn't in `loads` has no work of it.
     std::map<upstream_key, upstream_load> loads; ///< All upstreams with work, or the ones that changed.
 
     friend auto operator==(const load_report&, const load_report&) -> bool = default;
@@ -67,7 +67,7 @@
     bool is_long = false;              ///< Whether the prompt is long.
     std::int64_t memory_tokens = 0;    ///< Engine memory filled at `upstream`.
     duration reading{};                ///< Reading at each of the upstreams.
-    duration pause_aim{};              ///< Longest pause between the call's events that is on time; 0: none.
+    duration tbt_target{};             ///< Longest pause between the call's events that is on time; 0: none.
 
     friend auto operator==(const placement&, const placement&) -> bool = default;
 };
@@ -79,7 +79,7 @@
 ///
 /// Gateways that don't know of each other's calls choose the same idle upstream at the same moment, so that
 /// calls wait there while others stand idle.
-class load_board
+class load_tracker
 {
 public:
     /// Notes a call that is being sent.
@@ -92,9 +92,9 @@
     void set_suspect(upstream_key upstream, bool suspect);
     void set_suspect(std::string_view upstream, bool suspect) { set_suspect(stable_hash(upstream), suspect); }
     /// Takes another gateway's report; one that is older than the last of its start is left out.
-    void take_report(const load_report& report, instant now);
+    void apply_report(const load_report& report, instant now);
     /// Forgets what a gateway that is gone has reported.
-    void forget_gateway(const std::string& gateway);
+    void remove_gateway(const std::string& gateway);
 
     /// All work in hand at an upstream.
     [[nodiscard]] auto load_of(upstream_key upstream, instant now) const -> upstream_load;
@@ -102,12 +102,12 @@
     {
         return load_of(stable_hash(upstream), now);
     }
-    /// This gateway's own work, to be reported to the others: all of it, or what changed since `own_changes`
+    /// This gateway's own work, to be reported to the others: all of it, or what changed since `own_version`
     /// stood at `since`.
     [[nodiscard]] auto own_loads(instant now, std::optional<std::uint64_t> since = std::nullopt) const
         -> std::map<upstream_key, upstream_load>;
     /// Rises whenever own work changes.
-    [[nodiscard]] auto own_changes() const -> std::uint64_t { return own_changes_; }
+    [[nodiscard]] auto own_version() const -> std::uint64_t { return own_changes_; }
     /// Own calls in hand at an upstream.
     [[nodiscard]] auto own_calls(upstream_key upstream) const -> int;
     [[nodiscard]] auto own_calls(std::string_view upstream) const -> int
--- a/include/dragonflymill/direct/peer_message.h
+++ b/include/dragonflymill/direct/peer_message.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "dragonflymill/direct/load_board.h"
+#include "dragonflymill/direct/load_tracker.h"
 #include "dragonflymill/direct/peer_table.h"
 
 #include <cstddef>
@@ -33,7 +33,7 @@
 inline constexpr std::size_t max_digests = 24;
 
 /// Parts digests that a relay forwards into datagrams.
-[[nodiscard]] auto datagrams_of(const std::vector<peer_message>& messages, const std::string& relay,
-                                bool for_relays) -> std::vector<peer_datagram>;
+[[nodiscard]] auto split_into_datagrams(const std::vector<peer_message>& messages, const std::string& relay,
+                                        bool for_relays) -> std::vector<peer_datagram>;
 
 } // namespace dragonflymill::direct
--- a/include/dragonflymill/direct/peer_table.h
+++ b/include/dragonflymill/direct/peer_table.h
@@ -50,27 +50,27 @@
     /// Takes a digest; true if the peer is new. Digests of this process, and older ones, are left out.
     auto take(const peer_digest& digest, instant now) -> bool;
     /// Forgets peers that were silent for long; gives their names.
-    [[nodiscard]] auto forget_silent(instant now) -> std::vector<std::string>;
+    [[nodiscard]] auto expire_peers(instant now) -> std::vector<std::string>;
     /// Where the next digest goes: all peers, and seeds and hearsay that nothing was heard of.
     [[nodiscard]] auto targets(instant now) const -> std::vector<std::string>;
     /// Seeds and hearsay that no known peer has the address of.
-    [[nodiscard]] auto strangers() const -> std::vector<std::string>;
+    [[nodiscard]] auto unknown_addresses() const -> std::vector<std::string>;
     /// Gateways that are there, this one included; peers that are stopping still count, as they still send.
     [[nodiscard]] auto gateways() const -> int { return static_cast<int>(peers_.size()) + 1; }
     /// A peer that knows more of the published changes than `revision`; nothing if none does. Each gateway
     /// gets another one, for each `attempt` again another, and larger ones more often: if all asked the one
     /// that knows most, a large configuration would take its link for seconds, and each change would wait
     /// behind it.
-    [[nodiscard]] auto newer_than(std::uint64_t revision, std::uint64_t attempt = 0) const
+    [[nodiscard]] auto select_newer_peer(std::uint64_t revision, std::uint64_t attempt = 0) const
         -> std::optional<peer_digest>;
     /// Whether this process has to read published records first hand: fewer than `source_readers` of the
     /// gateways that come before it in an order that all share are known to do so, larger ones first: all
     /// others fetch each change from them. Where there are many gateways each read by each of them would cost
     /// the source more than it gives.
-    [[nodiscard]] auto has_to_read_source(instant now) const -> bool;
+    [[nodiscard]] auto must_read_source(instant now) const -> bool;
     /// Addresses of up to `max_listed_peers` peers, others for each `round`: in a digest that goes to
     /// hundreds of gateways, all addresses would be most of its bytes. All are sent within some rounds.
-    [[nodiscard]] auto some_addresses(std::uint64_t round) const -> std::vector<std::string>;
+    [[nodiscard]] auto address_sample(std::uint64_t round) const -> std::vector<std::string>;
     /// All peers by name.
     [[nodiscard]] auto peers() const -> const std::map<std::string, known_peer>& { return peers_; }
     /// Seeds may change with the settings.
--- a/include/dragonflymill/direct/reading_plan.h
+++ b/include/dragonflymill/direct/prefill_plan.h
@@ -13,7 +13,7 @@
 namespace dragonflymill::direct {
 
 /// How a long prompt would be read, and what that would do to others.
-struct reading_plan
+struct prefill_plan
 {
     const dispatch_candidate* writer = nullptr; ///< Answers the call; never null in a plan that was returned.
     std::int64_t writer_tokens = 0;             ///< Memory filled at `writer`.
@@ -25,7 +25,7 @@
 
     /// Expected until the first token.
     [[nodiscard]] auto first_token() const -> duration { return backlog + part; }
-    friend auto operator==(const reading_plan&, const reading_plan&) -> bool = default;
+    friend auto operator==(const prefill_plan&, const prefill_plan&) -> bool = default;
 };
 
 /// Finds the engines that read one long prompt.
@@ -37,26 +37,26 @@
 /// nine parts at engines with empty passes it makes none late. Against a fixed bound of reading beside
 /// streams, with the first engine that has room as the writer, weighing earns 0.713 instead of 0.700 of all
 /// worth, and half of the loss by broken pauses (48 plays of four deployments).
-class reading_planner
+class prefill_planner
 {
 public:
     /// For a call and engines in the order that all gateways share; `wanted_part` is the reading that an
     /// engine should get at most. All must outlive the planner.
-    reading_planner(const engine_forecast& forecast, duration wanted_part, const call_shape& call,
+    prefill_planner(const engine_forecast& forecast, duration wanted_part, const call_shape& call,
                     std::span<const dispatch_candidate> ordered);
 
     /// The best plan with a writer among `side`, or among all if none of those has room; nothing if none has.
     /// A plan that may begin now goes before one that has to wait, unless the wait is worth it: eight idle
     /// engines rather than sixteen of which two read for long. A burst of short prompts leaves one engine to
     /// the long ones, whose memory the largest prompts exceed.
-    [[nodiscard]] auto best(std::span<const dispatch_candidate> side) const -> std::optional<reading_plan>;
+    [[nodiscard]] auto best(std::span<const dispatch_candidate> side) const -> std::optional<prefill_plan>;
     /// The best plan for a writer that is chosen already.
-    [[nodiscard]] auto best_for(const dispatch_candidate& writer) const -> reading_plan;
+    [[nodiscard]] auto best_for(const dispatch_candidate& writer) const -> prefill_plan;
     /// Whether a plan is worth its cost now, rather than that the call waits for a better one: a call with
     /// all its time left accepts little cost, one that waited accepts up to what it is worth.
-    [[nodiscard]] auto acceptable(const reading_plan& plan) const -> bool;
+    [[nodiscard]] auto acceptable(const prefill_plan& plan) const -> bool;
     /// Why a plan should not begin now; none if it may.
-    [[nodiscard]] auto obstacle_to(const reading_plan& plan) const -> wait_reason;
+    [[nodiscard]] auto obstacle_to(const prefill_plan& plan) const -> wait_reason;
     /// Time to read the prompt at as many engines as may read it together.
     [[nodiscard]] auto fastest() const -> duration;
 
@@ -119,8 +119,8 @@
     /// The best plan, and the best of those that may begin now.
     struct plan_choice
     {
-        reading_plan best;
-        std::optional<reading_plan> now;
+        prefill_plan best;
+        std::optional<prefill_plan> now;
     };
 
     /// So many readers of a prompt, and the engines that may help, the best first. Worked out once for all
@@ -133,17 +133,17 @@
     };
 
     /// The plan that a call takes of two.
-    [[nodiscard]] auto chosen_of(plan_choice found) const -> reading_plan;
+    [[nodiscard]] auto chosen_of(plan_choice found) const -> prefill_plan;
     [[nodiscard]] auto writers(std::span<const dispatch_candidate> side) const -> std::vector<writer_choice>;
     [[nodiscard]] auto memory_gang(std::span<const dispatch_candidate> side) const
         -> std::optional<writer_choice>;
     [[nodiscard]] auto may_write(const dispatch_candidate& engine, std::int64_t tokens) const -> bool;
     [[nodiscard]] auto plan_for(const writer_choice& writer, const std::vector<readers_option>& options) const
         -> plan_choice;
-    [[nodiscard]] auto plan_alone(const writer_choice& writer) const -> reading_plan;
+    [[nodiscard]] auto plan_alone(const writer_choice& writer) const -> prefill_plan;
     [[nodiscard]] auto plan_with(const writer_choice& writer, const readers_option& option) const
-        -> std::optional<reading_plan>;
-    [[nodiscard]] auto begin_plan(const writer_choice& writer, duration part) const -> reading_plan;
+        -> std::optional<prefill_plan>;
+    [[nodiscard]] auto begin_plan(const writer_choice& writer, duration part) const -> prefill_plan;
     [[nodiscard]] static auto is_chosen(const writer_choice& writer, const dispatch_candidate& engine)
         -> bool;
     [[nodiscard]] auto readers_options() const -> std::vector<readers_option>;
--- a/include/dragonflymill/direct/retry_window.h
+++ b/include/dragonflymill/direct/retry_window.h
@@ -9,13 +9,13 @@
 namespace dragonflymill::direct {
 
 /// Bounds of second attempts at one service, over all gateways together.
-struct retry_bounds
+struct retry_budget_limits
 {
     double share = 0.2;    ///< Second attempts for each first one.
     double slack = 0.0;    ///< Second attempts allowed besides, in each window.
     duration window = 10s; ///< Any span of this length counts.
 
-    friend auto operator==(const retry_bounds&, const retry_bounds&) -> bool = default;
+    friend auto operator==(const retry_budget_limits&, const retry_budget_limits&) -> bool = default;
 };
 
 /// Second attempts that this gateway may make at one service. Each gateway keeps to the share of its own
@@ -26,11 +26,11 @@
 {
 public:
     /// A request's first attempt is being sent.
-    void count_first(instant now);
+    void count_first_attempt(instant now);
     /// Takes one second attempt; false if none is left. `gateways` share the slack.
-    [[nodiscard]] auto take(instant now, const retry_bounds& bounds, int gateways) -> bool;
+    [[nodiscard]] auto take(instant now, const retry_budget_limits& bounds, int gateways) -> bool;
     /// Whether one is left, without taking it.
-    [[nodiscard]] auto available(instant now, const retry_bounds& bounds, int gateways) -> bool;
+    [[nodiscard]] auto available(instant now, const retry_budget_limits& bounds, int gateways) -> bool;
 
     /// Part of the allowance that is used: others may count a request in the next window, and a gateway that
     /// just started is not yet among those that share.
--- a/include/dragonflymill/direct/saturation_clock.h
+++ b/include/dragonflymill/direct/saturation_tracker.h
@@ -7,7 +7,7 @@
 namespace dragonflymill::direct {
 
 /// Measures how long calls have found no upstream with room.
-class saturation_clock
+class saturation_tracker
 {
 public:
     /// A call found no room.
--- a/include/dragonflymill/direct/source_listing.h
+++ b/include/dragonflymill/direct/source_listing.h
@@ -31,7 +31,7 @@
     /// Begins anew from the first page.
     void restart();
     /// Takes the next page; the whole list after the last one.
-    [[nodiscard]] auto take(listing_page page) -> std::optional<records_extract>;
+    [[nodiscard]] auto take(listing_page page) -> std::optional<records_update>;
     /// A call for a page failed: what was listed is kept. Pages are no snapshot in any case; what changed
     /// since the first one comes with the changes after its revision, or the source says that they are gone.
     void failed();
@@ -40,7 +40,7 @@
     [[nodiscard]] auto cursor() const -> const std::string& { return cursor_; }
     /// How long the next call may take: twice as long after each failure, so that a page gets through a full
     /// link, and a path that has gone silent is still given up soon.
-    [[nodiscard]] auto call_limit() const -> duration { return call_limit_; }
+    [[nodiscard]] auto call_timeout() const -> duration { return call_limit_; }
 
     /// A page takes 4 ms, and 240 ms from a slow source.
     static constexpr duration first_limit = 700ms;
@@ -48,7 +48,7 @@
     static constexpr duration longest_limit = 2800ms;
 
 private:
-    records_extract listed_;
+    records_update listed_;
     std::string cursor_;
     duration call_limit_ = first_limit;
     bool begun_ = false;
--- a/include/dragonflymill/direct/source_outage.h
+++ b/include/dragonflymill/direct/source_outage.h
@@ -20,9 +20,9 @@
     /// It can be read again.
     void regained(instant now);
     /// Another gateway says that it reads the source.
-    void peer_reads(instant now);
+    void peer_reads_source(instant now);
     /// Whether a removal that is seen now may be a lapse of a living upstream.
-    [[nodiscard]] auto casts_doubt(instant now) const -> bool;
+    [[nodiscard]] auto removals_unreliable(instant now) const -> bool;
     /// Whether the source can't be read now.
     [[nodiscard]] auto is_lost() const -> bool { return lost_at_.has_value(); }
 
--- a/include/dragonflymill/direct/stall_timeout.h
+++ b/include/dragonflymill/direct/stall_timeout.h
@@ -15,10 +15,10 @@
 };
 
 /// How long callers of a route bear a stream's silence before they leave.
-[[nodiscard]] auto caller_patience(const route_rule& route) -> duration;
+[[nodiscard]] auto client_timeout_for(const route_rule& route) -> duration;
 
 /// Whether an upstream has so much to read that its silence doesn't mean that it is lost.
-[[nodiscard]] auto is_busy_reading(duration reading) -> bool;
+[[nodiscard]] auto is_busy_prefilling(duration reading) -> bool;
 
 /// How long an upstream may be silent before its call is sent to another one.
 ///
--- a/include/dragonflymill/direct/upstream_health.h
+++ b/include/dragonflymill/direct/upstream_health.h
@@ -17,7 +17,7 @@
 {
 public:
     /// An attempt ended that this upstream is at fault for.
-    void ended(const std::string& upstream, attempt_end end, instant now);
+    void record_end(const std::string& upstream, attempt_end end, instant now);
     /// No connection, silence, or an answer that can't be used.
     void lost(const std::string& upstream, instant now);
     /// The upstream itself answered a failure. Some failures are the call's own fault, so that only a share
@@ -26,7 +26,7 @@
     /// The upstream refused a call for want of room. It is sound, but what fills it isn't on our board.
     void full(const std::string& upstream, instant now);
     /// A whole answer came.
-    void succeeded(const std::string& upstream);
+    void record_success(const std::string& upstream);
     /// Whether calls should go elsewhere; `own_calls` of this gateway are in hand there.
     [[nodiscard]] auto suspect(const std::string& upstream, int own_calls, instant now) const -> bool;
     /// The upstream is gone.
--- a/include/dragonflymill/direct/upstream_list.h
+++ b/include/dragonflymill/direct/upstream_list.h
@@ -23,7 +23,7 @@
     std::string address;         ///< IP and port.
     std::string failure_domain;  ///< Where it runs.
     bool leaving = false;        ///< Whether it takes no new work.
-    duration cold_left{};        ///< For how much longer it was cold when it wrote this.
+    duration cold_remaining{};   ///< For how much longer it was cold when it wrote this.
     int slots = 1;               ///< Requests that it runs at once.
     std::int64_t started_ms = 0; ///< Start by its own civil clock; the same id with another value is a new
                                  ///< start that knows nothing of before. 0: not told.
@@ -32,11 +32,11 @@
 };
 
 /// An operator asked for a failure domain to get no new work.
-struct domain_out
+struct drained_domain
 {
     std::string failure_domain; ///< Which.
 
-    friend auto operator==(const domain_out&, const domain_out&) -> bool = default;
+    friend auto operator==(const drained_domain&, const drained_domain&) -> bool = default;
 };
 
 /// A published record of which nothing can be used, and why.
@@ -48,8 +48,8 @@
 };
 
 /// A published record, decoded.
-using fleet_fact =
-    std::variant<std::shared_ptr<const fleet_config>, upstream_entry, domain_out, unusable_record>;
+using decoded_record =
+    std::variant<std::shared_ptr<const fleet_config>, upstream_entry, drained_domain, unusable_record>;
 
 /// An upstream and what this process knows of it.
 struct upstream_state
@@ -71,7 +71,7 @@
 {
 public:
     /// A record changed or appeared.
-    void take(const std::string& key, const fleet_fact& fact, instant now);
+    void take(const std::string& key, const decoded_record& fact, instant now);
     /// A record was removed; `after_outage` if the registry was away a moment ago.
     void remove(const std::string& key, bool after_outage, instant now);
     /// Time passes: removals that were held back are believed.
@@ -91,7 +91,7 @@
         return upstreams_;
     }
     /// Whether new work may be sent to this upstream now.
-    [[nodiscard]] auto takes_work(const upstream_state& upstream) const -> bool;
+    [[nodiscard]] auto accepts_work(const upstream_state& upstream) const -> bool;
     /// Failure domains that get no new work.
     [[nodiscard]] auto domains_out() const -> const std::set<std::string>& { return domains_out_; }
 
--- a/src/direct/attempt_rules.cpp
+++ b/src/direct/attempt_rules.cpp
@@ -6,7 +6,7 @@
 
 auto may_try_again(attempt_end end, const request_progress& progress) -> bool
 {
-    if (progress.time_left < least_time_for_attempt) {
+    if (progress.time_left < min_attempt_time) {
         return false;
     }
     if (end == attempt_end::not_sent) {
@@ -33,7 +33,7 @@
     return end == attempt_end::not_sent || end == attempt_end::reader_lost;
 }
 
-auto after_attempt(attempt_end end, const request_progress& progress) -> next_step
+auto decide_next_step(attempt_end end, const request_progress& progress) -> next_step
 {
     if (may_try_again(end, progress)) {
         return next_step::try_again;
--- a/src/direct/call_dispatcher.cpp
+++ b/src/direct/call_dispatcher.cpp
@@ -12,7 +12,7 @@
 
 auto class_of(const waiting_call& call) -> call_class
 {
-    return {call.service, call.pause_aim};
+    return {call.service, call.tbt_target};
 }
 
 /// The candidates, with those marked as suspect at which an attempt failed, and with `whole_domains` also
@@ -60,7 +60,7 @@
     }
 }
 
-auto call_dispatcher::retry_left(const std::string& service, instant now) -> bool
+auto call_dispatcher::retry_allowed(const std::string& service, instant now) -> bool
 {
     return retries_[service].available(now, settings_.retries, gateways_);
 }
@@ -75,14 +75,15 @@
     // Shortest reading first, with age: one of a million tokens takes as much as ten usual long ones, and
     // would make all of them late.
     const auto reading = [&](const waiting_call& call) {
-        const service_rule* service = config.service_of(call.service);
+        const service_rule* service = config.find_service(call.service);
         const bool reads = service != nullptr && service->engine;
         return reads ? engine_forecast(*service->engine).read_alone(call.prompt_tokens) : duration::zero();
     };
     std::vector<ranked_call> ranked;
     ranked.reserve(waiting_.size());
     for (waiting_call& call : waiting_) {
-        const std::tuple rank(is_late(call, now), call.priority, call.aim_at + reading(call), call.id);
+        const std::tuple rank(is_late(call, now), call.priority, call.latency_target_at + reading(call),
+                              call.id);
         ranked.push_back({rank, std::move(call)});
     }
     std::sort(ranked.begin(), ranked.end(),
@@ -100,7 +101,7 @@
 {
     // Calls that can still be on time go first: while upstreams are saturated each served late would make
     // another one late.
-    return now + expected_first_token(call) >= call.aim_at;
+    return now + expected_first_token(call) >= call.latency_target_at;
 }
 
 auto call_dispatcher::decide(const upstream_list& fleet, instant now) -> dispatch_round
@@ -145,10 +146,10 @@
     if (!any_upstream(fleet, call.service)) {
         return dispatch_refusal{call.id, retry_after_none, "no upstream takes work"};
     }
-    if (now >= call.give_up_at) {
+    if (now >= call.queue_timeout_at) {
         const std::uint64_t draw = stable_hash(std::to_string(call.id), settings_.seed);
         const duration saturated = saturated_.at(class_of(call)).lasting(now);
-        const duration back = return_time(saturated, call.limit_at - now, draw);
+        const duration back = return_time(saturated, call.deadline_at - now, draw);
         return dispatch_refusal{call.id, back, to_string(call.obstacle)};
     }
     return std::nullopt;
@@ -194,7 +195,7 @@
 auto call_dispatcher::choose(const upstream_list& fleet, const waiting_call& call, instant now,
                              round_view& view) const -> dispatch_decision
 {
-    const service_rule* service = fleet.config()->service_of(call.service);
+    const service_rule* service = fleet.config()->find_service(call.service);
     if (service == nullptr) {
         return {std::nullopt, wait_reason::full};
     }
@@ -218,12 +219,12 @@
 auto call_dispatcher::choose_among(const upstream_list& fleet, const waiting_call& call, instant now,
                                    std::span<const dispatch_candidate> found) const -> dispatch_decision
 {
-    const service_rule& service = *fleet.config()->service_of(call.service);
+    const service_rule& service = *fleet.config()->find_service(call.service);
     const call_shape shape = shape_of(call, now);
     if (!service.engine) {
         return plain_dispatch().choose(shape, found);
     }
-    const duration pause = fleet.config()->tightest_pause(call.service).value_or(duration::zero());
+    const duration pause = fleet.config()->tightest_tbt_target(call.service).value_or(duration::zero());
     return engine_dispatch(*service.engine, pause).choose(shape, found);
 }
 
@@ -231,9 +232,9 @@
 {
     return {call.prompt_tokens,
             call.answer_tokens,
-            call.pause_aim,
-            call.leaves_at - now,
-            call.aim_at - now,
+            call.tbt_target,
+            call.client_timeout_at - now,
+            call.latency_target_at - now,
             settings_.failure_domain,
             stable_hash(std::to_string(call.id), settings_.seed),
             call.aim};
@@ -244,7 +245,8 @@
 {
     std::vector<const upstream_state*> usable;
     for (const auto& [id, state] : fleet.upstreams()) {
-        if (state.entry.service == service.name && fleet.takes_work(state) && !cold_full(fleet, state, now)) {
+        if (state.entry.service == service.name && fleet.accepts_work(state) &&
+            !cold_full(fleet, state, now)) {
             usable.push_back(&state);
         }
     }
@@ -261,13 +263,13 @@
     return found;
 }
 
-void call_dispatcher::refresh(const upstream_list& fleet, const dispatch_order& order, instant now,
+void call_dispatcher::refresh(const upstream_list& fleet, const dispatch_assignment& order, instant now,
                               std::vector<dispatch_candidate>& candidates) const
 {
     const auto touched = [&](const dispatch_candidate& candidate) {
-        const auto is_it = [&](const dispatch_helper& helper) { return helper.upstream.id == candidate.id; };
+        const auto is_it = [&](const prefill_engine& helper) { return helper.upstream.id == candidate.id; };
         return candidate.id == order.upstream.id ||
-               std::any_of(order.helpers.begin(), order.helpers.end(), is_it);
+               std::any_of(order.prefill_engines.begin(), order.prefill_engines.end(), is_it);
     };
     for (dispatch_candidate& candidate : candidates) {
         if (touched(candidate)) {
@@ -300,24 +302,25 @@
     if (now >= upstream.cold_until) {
         return 0.0;
     }
-    const service_rule* service = fleet.config()->service_of(upstream.entry.service);
+    const service_rule* service = fleet.config()->find_service(upstream.entry.service);
     return service == nullptr ? 0.0 : service->cold_calls_per_s;
 }
 
 auto call_dispatcher::order_for(const upstream_list& fleet, const waiting_call& call,
-                                const dispatch_choice& choice, instant now) -> dispatch_order
+                                const dispatch_choice& choice, instant now) -> dispatch_assignment
 {
-    dispatch_order order;
+    dispatch_assignment order;
     order.call = call.id;
     order.choice = choice;
     const upstream_state& upstream = fleet.upstreams().at(choice.upstream);
     order.upstream = upstream.entry;
     order.waited_for = call.obstacle;
-    for (const helper_share& helper : choice.helpers) {
-        order.helpers.push_back({fleet.upstreams().at(helper.upstream).entry, helper.reserved_tokens});
+    for (const helper_share& helper : choice.prefill_engines) {
+        order.prefill_engines.push_back(
+            {fleet.upstreams().at(helper.upstream).entry, helper.reserved_tokens});
     }
-    order.placed = board_.place({choice.upstream, choice.helpers, choice.is_long, choice.memory_tokens,
-                                 choice.reading, call.pause_aim},
+    order.placed = board_.place({choice.upstream, choice.prefill_engines, choice.is_long,
+                                 choice.memory_tokens, choice.reading, call.tbt_target},
                                 now);
     first_tokens_.dispatched(order.placed, class_of(call), now);
     if (const double cold = cold_rate(fleet, upstream, now); cold > 0) {
@@ -325,7 +328,7 @@
     }
     retry_window& retries = retries_[call.service];
     if (call.attempts.count() == 0) {
-        retries.count_first(now);
+        retries.count_first_attempt(now);
     }
     if (call.attempts.arrivals() > 0) {
         (void)retries.take(now, settings_.retries, gateways_);
@@ -336,7 +339,7 @@
 auto call_dispatcher::any_upstream(const upstream_list& fleet, const std::string& service) const -> bool
 {
     return std::any_of(fleet.upstreams().begin(), fleet.upstreams().end(), [&](const auto& item) {
-        return item.second.entry.service == service && fleet.takes_work(item.second);
+        return item.second.entry.service == service && fleet.accepts_work(item.second);
     });
 }
 
--- a/src/direct/return_detector.cpp
+++ b/src/direct/client_retry_detector.cpp
@@ -1,10 +1,10 @@
-#include "dragonflymill/direct/return_detector.h"
+#include "dragonflymill/direct/client_retry_detector.h"
 
 #include <algorithm>
 
 namespace dragonflymill::direct {
 
-auto return_detector::elapsed(const std::string& route, duration stated, instant now) -> duration
+auto client_retry_detector::elapsed(const std::string& route, duration stated, instant now) -> duration
 {
     longest_times& longest = routes_[route];
     if (now - longest.current_since >= memory) {
--- a/src/direct/dispatch_policy.cpp
+++ b/src/direct/dispatch_policy.cpp
@@ -1,7 +1,7 @@
 #include "dragonflymill/direct/dispatch_policy.h"
 
 #include "dragonflymill/core/stable_hash.h"
-#include "dragonflymill/direct/reading_plan.h"
+#include "dragonflymill/direct/prefill_plan.h"
 
 #include <algorithm>
 #include <cmath>
@@ -42,9 +42,9 @@
     return {std::move(choice)};
 }
 
-engine_dispatch::engine_dispatch(const engine_figures& figures, duration tightest_pause)
+engine_dispatch::engine_dispatch(const engine_profile& figures, duration tightest_tbt_target)
     : forecast_(figures)
-    , tightest_pause_(tightest_pause)
+    , tightest_pause_(tightest_tbt_target)
 {
 }
 
@@ -70,7 +70,7 @@
 
 auto engine_dispatch::is_tight(const call_shape& call) const -> bool
 {
-    return call.pause_aim > duration::zero() && call.pause_aim <= tightest_pause_;
+    return call.tbt_target > duration::zero() && call.tbt_target <= tightest_pause_;
 }
 
 auto engine_dispatch::choose(const call_shape& call, std::span<const dispatch_candidate> candidates) const
@@ -90,7 +90,7 @@
                                    std::size_t boundary) const -> dispatch_decision
 {
     const auto rank = [&](const dispatch_candidate& engine) {
-        return std::tuple(engine.load.reading / 25ms, in_hand(engine) / 2, is_far(call, engine),
+        return std::tuple(engine.load.pending_prefill / 25ms, in_hand(engine) / 2, is_far(call, engine),
                           mix_bits(engine.place ^ call.spread));
     };
     const dispatch_candidate* best = nullptr;
@@ -104,7 +104,7 @@
         }
     };
     consider(ordered.first(boundary));
-    const bool inside = best != nullptr && best->load.reading <= reading_planner::max_backlog;
+    const bool inside = best != nullptr && best->load.pending_prefill <= prefill_planner::max_backlog;
     if (!inside) {
         consider(ordered.subspan(boundary));
     }
@@ -115,13 +115,13 @@
     choice.upstream = best->id;
     choice.load = best->load;
     choice.reading = forecast_.read_alone(call.prompt_tokens);
-    choice.first_token = best->load.reading + choice.reading;
+    choice.first_token = best->load.pending_prefill + choice.reading;
     choice.memory_tokens = memory_need(call);
     if (is_long(call.prompt_tokens)) {
-        reading_plan plan = reading_planner(forecast_, wanted_part(), call, ordered).best_for(*best);
+        prefill_plan plan = prefill_planner(forecast_, wanted_part(), call, ordered).best_for(*best);
         choice.reading = plan.part;
         choice.first_token = plan.first_token();
-        choice.helpers = std::move(plan.helpers);
+        choice.prefill_engines = std::move(plan.helpers);
     }
     choice.first_token += forecast_.pass(in_hand(*best), call.prompt_tokens);
     choice.reason = inside ? "short partition" : "short partition full";
@@ -132,7 +132,7 @@
                                   std::size_t boundary) const -> dispatch_decision
 {
     const std::size_t first = std::min(boundary, ordered.size() - 1);
-    const reading_planner planner(forecast_, wanted_part(), call, ordered);
+    const prefill_planner planner(forecast_, wanted_part(), call, ordered);
     auto plan = planner.best(ordered.subspan(first));
     const wait_reason obstacle = plan ? planner.obstacle_to(*plan) : wait_reason::no_engine;
     if (obstacle != wait_reason::none) {
@@ -146,7 +146,7 @@
     choice.memory_tokens = plan->writer_tokens;
     choice.reading = plan->part;
     choice.first_token = plan->first_token();
-    choice.helpers = std::move(plan->helpers);
+    choice.prefill_engines = std::move(plan->helpers);
     choice.reason = on_time ? "long partition" : "late, long partition";
     return {std::move(choice)};
 }
@@ -182,7 +182,7 @@
     return call.prompt_tokens + call.answer_tokens;
 }
 
-auto free_memory(const engine_figures& figures, const dispatch_candidate& engine) -> std::int64_t
+auto free_memory(const engine_profile& figures, const dispatch_candidate& engine) -> std::int64_t
 {
     if (figures.memory_tokens <= 0) {
         return std::numeric_limits<std::int64_t>::max();
--- a/src/direct/fleet_config.cpp
+++ b/src/direct/fleet_config.cpp
@@ -10,11 +10,11 @@
 auto route_rule::service_for(std::string_view request) const -> const std::string&
 {
     std::uint64_t whole = 0;
-    for (const service_share& share : services) {
+    for (const weighted_service& share : services) {
         whole += share.weight;
     }
     std::uint64_t at = whole == 0 ? 0 : stable_hash(request) % whole;
-    for (const service_share& share : services) {
+    for (const weighted_service& share : services) {
         if (at < share.weight) {
             return share.service;
         }
@@ -29,12 +29,12 @@
     for (std::size_t i = 0; i < parts_.routes.size(); ++i) {
         const route_rule& route = parts_.routes[i];
         routes_by_host_[route.host].push_back(i);
-        if (route.pause_aim <= duration::zero()) {
+        if (route.tbt_target <= duration::zero()) {
             continue;
         }
-        for (const service_share& share : route.services) {
-            const auto [found, added] = tightest_pause_.emplace(share.service, route.pause_aim);
-            found->second = std::min(found->second, route.pause_aim);
+        for (const weighted_service& share : route.services) {
+            const auto [found, added] = tightest_pause_.emplace(share.service, route.tbt_target);
+            found->second = std::min(found->second, route.tbt_target);
         }
     }
     for (auto& [host, indexes] : routes_by_host_) {
@@ -52,7 +52,7 @@
     }
 }
 
-auto fleet_config::route_of(std::string_view host, std::string_view path) const -> const route_rule*
+auto fleet_config::match_route(std::string_view host, std::string_view path) const -> const route_rule*
 {
     const auto found = routes_by_host_.find(host);
     if (found == routes_by_host_.end()) {
@@ -66,19 +66,19 @@
     return nullptr;
 }
 
-auto fleet_config::account_of(const std::string& key) const -> const account_rule*
+auto fleet_config::find_account(const std::string& key) const -> const account_rule*
 {
     const auto found = account_by_key_.find(key);
     return found == account_by_key_.end() ? nullptr : &parts_.accounts[found->second];
 }
 
-auto fleet_config::service_of(const std::string& name) const -> const service_rule*
+auto fleet_config::find_service(const std::string& name) const -> const service_rule*
 {
     const auto found = service_by_name_.find(name);
     return found == service_by_name_.end() ? nullptr : &parts_.services[found->second];
 }
 
-auto fleet_config::tightest_pause(const std::string& service) const -> std::optional<duration>
+auto fleet_config::tightest_tbt_target(const std::string& service) const -> std::optional<duration>
 {
     const auto found = tightest_pause_.find(service);
     return found == tightest_pause_.end() ? std::nullopt : std::optional(found->second);
--- a/src/direct/fleet_records.cpp
+++ b/src/direct/fleet_records.cpp
@@ -26,7 +26,7 @@
     return true;
 }
 
-auto fleet_records::apply(const records_extract& extract) -> std::vector<fleet_record>
+auto fleet_records::apply(const records_update& extract) -> std::vector<fleet_record>
 {
     std::vector<fleet_record> news;
     std::set<std::string> present;
@@ -62,9 +62,9 @@
     revision_ = std::max(revision_, revision);
 }
 
-auto fleet_records::since(std::uint64_t after) const -> records_extract
+auto fleet_records::since(std::uint64_t after) const -> records_update
 {
-    records_extract extract;
+    records_update extract;
     extract.as_of = revision_;
     // Removals up to `forgotten_to_` aren't all known here, so that only the whole list tells of them.
     extract.whole = after == 0 || after < forgotten_to_;
--- a/src/direct/gossip_relay.cpp
+++ b/src/direct/gossip_relay.cpp
@@ -95,7 +95,7 @@
     }
 }
 
-void gossip_relay::add_own(const peer_message& message)
+void gossip_relay::enqueue_own(const peer_message& message)
 {
     gather(message, true, flushed_at_);
 }
--- a/src/direct/gossip_schedule.cpp
+++ b/src/direct/gossip_schedule.cpp
@@ -4,7 +4,7 @@
 
 namespace dragonflymill::direct {
 
-auto gossip_schedule::next(const gossip_state& state, bool at_once, instant now) -> std::optional<due_digest>
+auto gossip_schedule::next(const digest_state& state, bool at_once, instant now) -> std::optional<due_digest>
 {
     const int spread = std::max(1, state.gateways / gateways_at_full_rate);
     const bool changed = state.load_changes != sent_.load_changes || state.revision != sent_.revision;
--- a/src/direct/load_board.cpp
+++ b/src/direct/load_tracker.cpp
@@ -1,4 +1,4 @@
-#include "dragonflymill/direct/load_board.h"
+#include "dragonflymill/direct/load_tracker.h"
 
 #include "dragonflymill/core/assert.h"
 #include "dragonflymill/core/stable_hash.h"
@@ -8,14 +8,14 @@
 
 namespace dragonflymill::direct {
 
-auto load_board::reported_load::at(instant now) const -> upstream_load
+auto load_tracker::reported_load::at(instant now) const -> upstream_load
 {
     upstream_load current = load;
-    current.reading = std::max(read_until - now, scaled(load.reading, least_unread_share));
+    current.pending_prefill = std::max(read_until - now, scaled(load.pending_prefill, least_unread_share));
     return current;
 }
 
-auto load_board::place(placement call, instant now) -> placement_id
+auto load_tracker::place(placement call, instant now) -> placement_id
 {
     ++own_changes_;
     add(call, now);
@@ -24,7 +24,7 @@
     return id;
 }
 
-void load_board::reading_done(placement_id id, instant now)
+void load_tracker::reading_done(placement_id id, instant now)
 {
     const auto found = placed_.find(id);
     if (found == placed_.end() || found->second.read) {
@@ -43,22 +43,22 @@
     }
 }
 
-auto load_board::changing(upstream_key upstream) -> reported_load&
+auto load_tracker::changing(upstream_key upstream) -> reported_load&
 {
     reported_load& own = own_[upstream];
     own.changed = own_changes_;
     return own;
 }
 
-void load_board::end_reading(reported_load& reader, duration reading, instant now) const
+void load_tracker::end_reading(reported_load& reader, duration reading, instant now) const
 {
     // Reading is done in the order of arrival, so that what was forecast for it is over now, and only what
     // was added later remains.
-    reader.load.reading = std::max(reader.load.reading - reading, duration::zero());
-    reader.read_until = std::min(reader.read_until, now + reader.load.reading);
+    reader.load.pending_prefill = std::max(reader.load.pending_prefill - reading, duration::zero());
+    reader.read_until = std::min(reader.read_until, now + reader.load.pending_prefill);
 }
 
-void load_board::finish(placement_id id, instant now)
+void load_tracker::finish(placement_id id, instant now)
 {
     reading_done(id, now);
     const auto found = placed_.find(id);
@@ -71,11 +71,11 @@
     reported_load& own = changing(stable_hash(call.upstream));
     --(call.is_long ? own.load.long_calls : own.load.short_calls);
     own.load.memory_tokens -= call.memory_tokens;
-    if (call.pause_aim > duration::zero()) {
-        if (--own.pauses[call.pause_aim] == 0) {
-            own.pauses.erase(call.pause_aim);
+    if (call.tbt_target > duration::zero()) {
+        if (--own.pauses[call.tbt_target] == 0) {
+            own.pauses.erase(call.tbt_target);
         }
-        own.load.tightest_pause = own.pauses.empty() ? duration::zero() : own.pauses.begin()->first;
+        own.load.tightest_tbt_target = own.pauses.empty() ? duration::zero() : own.pauses.begin()->first;
     }
     DRAGONFLYMILL_ASSERT(own.load.short_calls >= 0 && own.load.long_calls >= 0, "a call is finished once");
     for (const helper_share& helper : call.helpers) {
@@ -83,19 +83,19 @@
     }
 }
 
-void load_board::add(const placement& call, instant now)
+void load_tracker::add(const placement& call, instant now)
 {
     const auto add_reading = [&](reported_load& reader) {
-        reader.load.reading += call.reading;
+        reader.load.pending_prefill += call.reading;
         reader.read_until = std::max(reader.read_until, now) + call.reading;
     };
     reported_load& own = changing(stable_hash(call.upstream));
     ++(call.is_long ? own.load.long_calls : own.load.short_calls);
     own.load.unread_calls += call.is_long ? 1 : 0;
     own.load.memory_tokens += call.memory_tokens;
-    if (call.pause_aim > duration::zero()) {
-        ++own.pauses[call.pause_aim];
-        own.load.tightest_pause = own.pauses.begin()->first;
+    if (call.tbt_target > duration::zero()) {
+        ++own.pauses[call.tbt_target];
+        own.load.tightest_tbt_target = own.pauses.begin()->first;
     }
     add_reading(own);
     for (const helper_share& helper : call.helpers) {
@@ -106,7 +106,7 @@
     }
 }
 
-void load_board::set_suspect(upstream_key upstream, bool suspect)
+void load_tracker::set_suspect(upstream_key upstream, bool suspect)
 {
     const auto known = own_.find(upstream);
     if (known == own_.end() ? !suspect : known->second.load.suspected_by == (suspect ? 1 : 0)) {
@@ -116,14 +116,14 @@
     changing(upstream).load.suspected_by = suspect ? 1 : 0;
 }
 
-void load_board::take_report(const load_report& report, instant now)
+void load_tracker::apply_report(const load_report& report, instant now)
 {
     reported_loads& known = others_[report.gateway];
     if (report.sequence <= known.sequence) {
         return;
     }
     known.sequence = report.sequence;
-    if (report.whole) {
+    if (report.is_complete) {
         forget_loads(report.gateway, known);
     }
     for (const auto& [upstream, load] : report.loads) {
@@ -132,12 +132,12 @@
             known.upstreams.erase(upstream);
             continue;
         }
-        others_loads_[upstream][report.gateway] = reported_load{load, now + load.reading, {}, 0};
+        others_loads_[upstream][report.gateway] = reported_load{load, now + load.pending_prefill, {}, 0};
         known.upstreams.insert(upstream);
     }
 }
 
-void load_board::forget_loads(const std::string& gateway, reported_loads& report)
+void load_tracker::forget_loads(const std::string& gateway, reported_loads& report)
 {
     for (const upstream_key upstream : report.upstreams) {
         remove_load(upstream, gateway);
@@ -145,7 +145,7 @@
     report.upstreams.clear();
 }
 
-void load_board::remove_load(upstream_key upstream, const std::string& gateway)
+void load_tracker::remove_load(upstream_key upstream, const std::string& gateway)
 {
     const auto reported = others_loads_.find(upstream);
     if (reported == others_loads_.end()) {
@@ -157,7 +157,7 @@
     }
 }
 
-void load_board::forget_gateway(const std::string& gateway)
+void load_tracker::remove_gateway(const std::string& gateway)
 {
     if (const auto known = others_.find(gateway); known != others_.end()) {
         forget_loads(gateway, known->second);
@@ -165,7 +165,7 @@
     }
 }
 
-auto load_board::load_of(upstream_key upstream, instant now) const -> upstream_load
+auto load_tracker::load_of(upstream_key upstream, instant now) const -> upstream_load
 {
     upstream_load sum;
     if (const auto own = own_.find(upstream); own != own_.end()) {
@@ -183,16 +183,17 @@
         sum.suspected_by += load.suspected_by;
         sum.parts += load.parts;
         sum.memory_tokens += load.memory_tokens;
-        sum.reading += load.reading;
-        if (load.tightest_pause > duration::zero() &&
-            (sum.tightest_pause == duration::zero() || load.tightest_pause < sum.tightest_pause)) {
-            sum.tightest_pause = load.tightest_pause;
+        sum.pending_prefill += load.pending_prefill;
+        if (load.tightest_tbt_target > duration::zero() &&
+            (sum.tightest_tbt_target == duration::zero() ||
+             load.tightest_tbt_target < sum.tightest_tbt_target)) {
+            sum.tightest_tbt_target = load.tightest_tbt_target;
         }
     }
     return sum;
 }
 
-auto load_board::own_loads(instant now, std::optional<std::uint64_t> since) const
+auto load_tracker::own_loads(instant now, std::optional<std::uint64_t> since) const
     -> std::map<upstream_key, upstream_load>
 {
     std::map<upstream_key, upstream_load> loads;
@@ -206,7 +207,7 @@
     return loads;
 }
 
-auto load_board::own_calls(upstream_key upstream) const -> int
+auto load_tracker::own_calls(upstream_key upstream) const -> int
 {
     const auto found = own_.find(upstream);
     return found == own_.end() ? 0 : found->second.load.short_calls + found->second.load.long_calls;
--- a/src/direct/peer_message.cpp
+++ b/src/direct/peer_message.cpp
@@ -4,8 +4,8 @@
 
 namespace dragonflymill::direct {
 
-auto datagrams_of(const std::vector<peer_message>& messages, const std::string& relay, bool for_relays)
-    -> std::vector<peer_datagram>
+auto split_into_datagrams(const std::vector<peer_message>& messages, const std::string& relay,
+                          bool for_relays) -> std::vector<peer_datagram>
 {
     std::vector<peer_datagram> datagrams;
     for (std::size_t begin = 0; begin < messages.size(); begin += max_digests) {
--- a/src/direct/peer_table.cpp
+++ b/src/direct/peer_table.cpp
@@ -57,7 +57,7 @@
     return is_new;
 }
 
-auto peer_table::forget_silent(instant now) -> std::vector<std::string>
+auto peer_table::expire_peers(instant now) -> std::vector<std::string>
 {
     std::vector<std::string> gone;
     std::erase_if(peers_, [&](const auto& peer) {
@@ -86,7 +86,7 @@
     return {all.begin(), all.end()};
 }
 
-auto peer_table::strangers() const -> std::vector<std::string>
+auto peer_table::unknown_addresses() const -> std::vector<std::string>
 {
     std::set<std::string> found(seeds_.begin(), seeds_.end());
     for (const auto& [address, since] : hearsay_) {
@@ -99,7 +99,8 @@
     return {found.begin(), found.end()};
 }
 
-auto peer_table::newer_than(std::uint64_t revision, std::uint64_t attempt) const -> std::optional<peer_digest>
+auto peer_table::select_newer_peer(std::uint64_t revision, std::uint64_t attempt) const
+    -> std::optional<peer_digest>
 {
     const std::uint64_t round = mix_bits(revision) + attempt;
     const peer_digest* best = nullptr;
@@ -115,7 +116,7 @@
     return best == nullptr ? std::nullopt : std::optional(*best);
 }
 
-auto peer_table::has_to_read_source(instant now) const -> bool
+auto peer_table::must_read_source(instant now) const -> bool
 {
     const auto rank = [](const std::string& gateway, int millicores) {
         return std::tuple(-millicores, stable_hash(gateway), gateway);
@@ -132,7 +133,7 @@
     return readers < source_readers;
 }
 
-auto peer_table::some_addresses(std::uint64_t round) const -> std::vector<std::string>
+auto peer_table::address_sample(std::uint64_t round) const -> std::vector<std::string>
 {
     std::vector<std::string> all;
     all.reserve(peers_.size());
--- a/src/direct/reading_plan.cpp
+++ b/src/direct/prefill_plan.cpp
@@ -1,4 +1,4 @@
-#include "dragonflymill/direct/reading_plan.h"
+#include "dragonflymill/direct/prefill_plan.h"
 
 #include "dragonflymill/core/stable_hash.h"
 
@@ -43,7 +43,7 @@
 
 } // namespace
 
-reading_planner::reading_planner(const engine_forecast& forecast, duration wanted_part,
+prefill_planner::prefill_planner(const engine_forecast& forecast, duration wanted_part,
                                  const call_shape& call, std::span<const dispatch_candidate> ordered)
     : forecast_(forecast)
     , wanted_part_(wanted_part)
@@ -52,7 +52,7 @@
 {
 }
 
-auto reading_planner::best(std::span<const dispatch_candidate> side) const -> std::optional<reading_plan>
+auto prefill_planner::best(std::span<const dispatch_candidate> side) const -> std::optional<prefill_plan>
 {
     std::vector<writer_choice> found = writers(side);
     if (found.empty()) {
@@ -64,7 +64,7 @@
     const std::vector<readers_option> options = readers_options();
     std::optional<plan_choice> chosen;
     const double margin = writer_margin * worth();
-    const auto better = [&](const reading_plan& plan, const reading_plan& than) {
+    const auto better = [&](const prefill_plan& plan, const prefill_plan& than) {
         return plan.benefit - plan.cost > than.benefit - than.cost + margin;
     };
     for (const writer_choice& writer : found) {
@@ -83,12 +83,12 @@
     return chosen_of(std::move(*chosen));
 }
 
-auto reading_planner::best_for(const dispatch_candidate& writer) const -> reading_plan
+auto prefill_planner::best_for(const dispatch_candidate& writer) const -> prefill_plan
 {
     return plan_for({&writer, memory_need(call_), {}}, readers_options()).best;
 }
 
-auto reading_planner::acceptable(const reading_plan& plan) const -> bool
+auto prefill_planner::acceptable(const prefill_plan& plan) const -> bool
 {
     const duration first = plan.first_token();
     const bool on_time = first <= call_.time_to_aim;
@@ -99,7 +99,7 @@
     return plan.cost <= plan.benefit * (1.0 - patience);
 }
 
-auto reading_planner::obstacle_to(const reading_plan& plan) const -> wait_reason
+auto prefill_planner::obstacle_to(const prefill_plan& plan) const -> wait_reason
 {
     const bool on_time = plan.first_token() <= call_.time_to_aim;
     // Engines are busy for moments, but a late reading by the few that are free keeps them for seconds.
@@ -112,7 +112,7 @@
     return acceptable(plan) ? wait_reason::none : wait_reason::cost;
 }
 
-auto reading_planner::chosen_of(plan_choice found) const -> reading_plan
+auto prefill_planner::chosen_of(plan_choice found) const -> prefill_plan
 {
     if (!found.now) {
         return std::move(found.best);
@@ -123,12 +123,12 @@
     return sooner ? std::move(*found.now) : std::move(found.best);
 }
 
-auto reading_planner::fastest() const -> duration
+auto prefill_planner::fastest() const -> duration
 {
     return forecast_.read_part(call_.prompt_tokens, static_cast<int>(most_readers()));
 }
 
-auto reading_planner::writers(std::span<const dispatch_candidate> side) const -> std::vector<writer_choice>
+auto prefill_planner::writers(std::span<const dispatch_candidate> side) const -> std::vector<writer_choice>
 {
     const std::int64_t tokens = memory_need(call_);
     std::vector<writer_choice> found;
@@ -140,7 +140,7 @@
         if (engine->load.parts == 0) {
             found.push_back({&*engine, tokens, {}});
         }
-        else if (helping == nullptr || engine->load.reading < helping->load.reading) {
+        else if (helping == nullptr || engine->load.pending_prefill < helping->load.pending_prefill) {
             helping = &*engine;
         }
     }
@@ -156,7 +156,7 @@
     return found;
 }
 
-auto reading_planner::memory_gang(std::span<const dispatch_candidate> side) const
+auto prefill_planner::memory_gang(std::span<const dispatch_candidate> side) const
     -> std::optional<writer_choice>
 {
     const auto room = [this](const dispatch_candidate* engine) {
@@ -190,23 +190,23 @@
     return std::nullopt;
 }
 
-auto reading_planner::may_write(const dispatch_candidate& engine, std::int64_t tokens) const -> bool
+auto prefill_planner::may_write(const dispatch_candidate& engine, std::int64_t tokens) const -> bool
 {
     return has_slot(engine) && free_memory(forecast_.figures(), engine) >= tokens &&
            engine.load.unread_calls < max_unread;
 }
 
-auto reading_planner::plan_for(const writer_choice& writer, const std::vector<readers_option>& options) const
+auto prefill_planner::plan_for(const writer_choice& writer, const std::vector<readers_option>& options) const
     -> plan_choice
 {
     const std::size_t fixed = writer.holders.size() + 1;
     const auto wanted = static_cast<double>(std::max(fixed, wanted_readers()));
-    const auto value_of = [&](const reading_plan& plan) {
+    const auto value_of = [&](const prefill_plan& plan) {
         const auto readers = static_cast<double>(plan.helpers.size() + 1);
         return plan.benefit - plan.cost - std::abs(std::log2(readers / wanted)) * readers_margin * worth();
     };
     plan_choice chosen{plan_alone(writer), std::nullopt};
-    const auto note_begins = [&](const reading_plan& plan) {
+    const auto note_begins = [&](const prefill_plan& plan) {
         const bool better = !chosen.now || value_of(plan) > value_of(*chosen.now);
         if (better && obstacle_to(plan) == wait_reason::none) {
             chosen.now = plan;
@@ -227,19 +227,19 @@
     return chosen;
 }
 
-auto reading_planner::plan_alone(const writer_choice& writer) const -> reading_plan
+auto prefill_planner::plan_alone(const writer_choice& writer) const -> prefill_plan
 {
     const std::size_t readers = writer.holders.size() + 1;
-    reading_plan plan =
+    prefill_plan plan =
         begin_plan(writer, forecast_.read_part(call_.prompt_tokens, static_cast<int>(readers)));
     plan.benefit = benefit_of(plan.first_token());
     return plan;
 }
 
-auto reading_planner::plan_with(const writer_choice& writer, const readers_option& option) const
-    -> std::optional<reading_plan>
+auto prefill_planner::plan_with(const writer_choice& writer, const readers_option& option) const
+    -> std::optional<prefill_plan>
 {
-    reading_plan plan = begin_plan(writer, option.part);
+    prefill_plan plan = begin_plan(writer, option.part);
     for (const ranked_reader& reader : option.able) {
         if (plan.helpers.size() + 1 == option.readers) {
             break;
@@ -248,7 +248,7 @@
             continue;
         }
         plan.helpers.push_back({reader.engine->id, 0});
-        plan.backlog = std::max(plan.backlog, reader.engine->load.reading);
+        plan.backlog = std::max(plan.backlog, reader.engine->load.pending_prefill);
         plan.cost += reader.cost;
     }
     if (plan.helpers.size() + 1 != option.readers) {
@@ -258,30 +258,30 @@
     return plan;
 }
 
-auto reading_planner::begin_plan(const writer_choice& writer, duration part) const -> reading_plan
+auto prefill_planner::begin_plan(const writer_choice& writer, duration part) const -> prefill_plan
 {
-    reading_plan plan;
+    prefill_plan plan;
     plan.writer = writer.engine;
     plan.writer_tokens = writer.tokens;
     plan.helpers = writer.holders;
     plan.part = part;
-    plan.backlog = writer.engine->load.reading;
+    plan.backlog = writer.engine->load.pending_prefill;
     plan.cost = cost_at(able_of(*writer.engine), part);
     for (const helper_share& holder : writer.holders) {
         const dispatch_candidate& engine = find(holder.upstream);
-        plan.backlog = std::max(plan.backlog, engine.load.reading);
+        plan.backlog = std::max(plan.backlog, engine.load.pending_prefill);
         plan.cost += cost_at(able_of(engine), part);
     }
     return plan;
 }
 
-auto reading_planner::is_chosen(const writer_choice& writer, const dispatch_candidate& engine) -> bool
+auto prefill_planner::is_chosen(const writer_choice& writer, const dispatch_candidate& engine) -> bool
 {
     const auto holds = [&](const helper_share& share) { return share.upstream == engine.id; };
     return engine.id == writer.engine->id || std::any_of(writer.holders.begin(), writer.holders.end(), holds);
 }
 
-auto reading_planner::readers_options() const -> std::vector<readers_option>
+auto prefill_planner::readers_options() const -> std::vector<readers_option>
 {
     const std::vector<able_reader> able = able_readers();
     std::vector<readers_option> options;
@@ -294,7 +294,7 @@
     return options;
 }
 
-auto reading_planner::able_readers() const -> std::vector<able_reader>
+auto prefill_planner::able_readers() const -> std::vector<able_reader>
 {
     std::vector<able_reader> able;
     able.reserve(ordered_.size());
@@ -308,23 +308,24 @@
     return able;
 }
 
-auto reading_planner::able_of(const dispatch_candidate& engine) const -> able_reader
+auto prefill_planner::able_of(const dispatch_candidate& engine) const -> able_reader
 {
     const duration disturbed = in_hand(engine) > 0 ? writer_penalty : duration::zero();
     able_reader reader;
     reader.engine = &engine;
-    reader.backlog_steps = (engine.load.reading + disturbed) / backlog_step;
+    reader.backlog_steps = (engine.load.pending_prefill + disturbed) / backlog_step;
     reader.spread = mix_bits(engine.place ^ call_.spread);
-    if (engine.load.tightest_pause > duration::zero()) {
+    if (engine.load.tightest_tbt_target > duration::zero()) {
         const int writers = std::max(in_hand(engine), 1);
         const double streams = writers + static_cast<double>(engine.load.memory_tokens) / tokens_per_worth;
-        reader.before = engine.load.reading + forecast_.pass(writers, engine.load.memory_tokens / writers);
+        reader.before =
+            engine.load.pending_prefill + forecast_.pass(writers, engine.load.memory_tokens / writers);
         reader.streams_cost = streams * (1.0 - late_worth);
     }
     return reader;
 }
 
-auto reading_planner::ranked(const std::vector<able_reader>& able, duration part)
+auto prefill_planner::ranked(const std::vector<able_reader>& able, duration part)
     -> std::vector<ranked_reader>
 {
     std::vector<ranked_reader> found;
@@ -344,16 +345,16 @@
     return found;
 }
 
-auto reading_planner::cost_at(const able_reader& reader, duration part) -> double
+auto prefill_planner::cost_at(const able_reader& reader, duration part) -> double
 {
     if (reader.streams_cost == 0.0) {
         return 0.0;
     }
-    const double pause = ratio(reader.before + part, reader.engine->load.tightest_pause);
+    const double pause = ratio(reader.before + part, reader.engine->load.tightest_tbt_target);
     return reader.streams_cost * ramp(pause, cost_begins, cost_full);
 }
 
-auto reading_planner::benefit_of(duration first_token) const -> double
+auto prefill_planner::benefit_of(duration first_token) const -> double
 {
     if (first_token > scaled(call_.time_to_leave, stay_share)) {
         return 0.0;
@@ -364,12 +365,12 @@
     return worth() * (1.0 - (1.0 - late_worth) * late);
 }
 
-auto reading_planner::worth() const -> double
+auto prefill_planner::worth() const -> double
 {
     return 1.0 + static_cast<double>(call_.prompt_tokens) / tokens_per_worth;
 }
 
-auto reading_planner::wanted_readers() const -> std::size_t
+auto prefill_planner::wanted_readers() const -> std::size_t
 {
     const duration whole = forecast_.read_alone(call_.prompt_tokens);
     const bool late = fastest() > call_.time_to_aim;
@@ -380,13 +381,13 @@
     return std::clamp<std::size_t>(static_cast<std::size_t>(std::max(parts, 1.0)), 1, most_readers());
 }
 
-auto reading_planner::most_readers() const -> std::size_t
+auto prefill_planner::most_readers() const -> std::size_t
 {
     const auto share = static_cast<std::size_t>(static_cast<double>(ordered_.size()) * reader_share);
     return std::clamp<std::size_t>(share, 1, max_readers);
 }
 
-auto reading_planner::find(const std::string& id) const -> const dispatch_candidate&
+auto prefill_planner::find(const std::string& id) const -> const dispatch_candidate&
 {
     return *std::find_if(ordered_.begin(), ordered_.end(),
                          [&](const dispatch_candidate& engine) { return engine.id == id; });
--- a/src/direct/retry_window.cpp
+++ b/src/direct/retry_window.cpp
@@ -4,12 +4,12 @@
 
 namespace dragonflymill::direct {
 
-void retry_window::count_first(instant now)
+void retry_window::count_first_attempt(instant now)
 {
     ++current(now, window_).first;
 }
 
-auto retry_window::available(instant now, const retry_bounds& bounds, int gateways) -> bool
+auto retry_window::available(instant now, const retry_budget_limits& bounds, int gateways) -> bool
 {
     const std::int64_t number = current(now, bounds.window).number;
     double first = 0;
@@ -24,7 +24,7 @@
     return again + 1 <= safety * allowance;
 }
 
-auto retry_window::take(instant now, const retry_bounds& bounds, int gateways) -> bool
+auto retry_window::take(instant now, const retry_budget_limits& bounds, int gateways) -> bool
 {
     if (!available(now, bounds, gateways)) {
         return false;
--- a/src/direct/saturation_clock.cpp
+++ b/src/direct/saturation_tracker.cpp
@@ -1,4 +1,4 @@
-#include "dragonflymill/direct/saturation_clock.h"
+#include "dragonflymill/direct/saturation_tracker.h"
 
 #include <algorithm>
 
@@ -15,7 +15,7 @@
 
 } // namespace
 
-void saturation_clock::no_room(instant now)
+void saturation_tracker::no_room(instant now)
 {
     if (now - last_ > longest_gap) {
         since_ = now;
@@ -23,7 +23,7 @@
     last_ = now;
 }
 
-auto saturation_clock::lasting(instant now) const -> duration
+auto saturation_tracker::lasting(instant now) const -> duration
 {
     return now - last_ > longest_gap ? duration::zero() : now - since_;
 }
--- a/src/direct/source_listing.cpp
+++ b/src/direct/source_listing.cpp
@@ -13,7 +13,7 @@
     begun_ = false;
 }
 
-auto source_listing::take(listing_page page) -> std::optional<records_extract>
+auto source_listing::take(listing_page page) -> std::optional<records_update>
 {
     if (!begun_) {
         // Pages aren't a snapshot: what changed while they were read comes after this revision.
@@ -28,7 +28,7 @@
     if (goes_on) {
         return std::nullopt;
     }
-    records_extract whole = std::move(listed_);
+    records_update whole = std::move(listed_);
     restart();
     return whole;
 }
--- a/src/direct/source_outage.cpp
+++ b/src/direct/source_outage.cpp
@@ -19,14 +19,14 @@
     }
 }
 
-void source_outage::peer_reads(instant now)
+void source_outage::peer_reads_source(instant now)
 {
     if (lost_at_ && now - *lost_at_ > stale_word) {
         others_read_ = true;
     }
 }
 
-auto source_outage::casts_doubt(instant now) const -> bool
+auto source_outage::removals_unreliable(instant now) const -> bool
 {
     if (lost_at_) {
         return now - *lost_at_ >= shortest && !others_read_;
--- a/src/direct/stall_timeout.cpp
+++ b/src/direct/stall_timeout.cpp
@@ -28,21 +28,22 @@
 
 } // namespace
 
-auto caller_patience(const route_rule& route) -> duration
+auto client_timeout_for(const route_rule& route) -> duration
 {
-    return std::max({least_patience, patient_aims * route.answer_aim, patient_pauses * route.pause_aim});
+    return std::max({least_patience, patient_aims * route.latency_target, patient_pauses * route.tbt_target});
 }
 
-auto is_busy_reading(duration reading) -> bool
+auto is_busy_prefilling(duration reading) -> bool
 {
     return reading > busy_reading;
 }
 
 auto stall_timeout_for(const route_rule& route, const stalled_attempt& attempt) -> duration
 {
-    const duration usual = attempt.begun ? silent_pauses * route.pause_aim : silent_aims * route.answer_aim;
-    const bool busy = is_busy_reading(attempt.reading);
-    const duration bound = busy ? caller_patience(route) * busy_share_percent / 100 : duration::zero();
+    const duration usual =
+        attempt.begun ? silent_pauses * route.tbt_target : silent_aims * route.latency_target;
+    const bool busy = is_busy_prefilling(attempt.reading);
+    const duration bound = busy ? client_timeout_for(route) * busy_share_percent / 100 : duration::zero();
     return std::max({least_silence, usual, bound});
 }
 
--- a/src/direct/upstream_health.cpp
+++ b/src/direct/upstream_health.cpp
@@ -4,7 +4,7 @@
 
 namespace dragonflymill::direct {
 
-void upstream_health::ended(const std::string& upstream, attempt_end end, instant now)
+void upstream_health::record_end(const std::string& upstream, attempt_end end, instant now)
 {
     switch (end) {
     case attempt_end::failed:
@@ -58,7 +58,7 @@
     found.suspect_until = now + pause;
 }
 
-void upstream_health::succeeded(const std::string& upstream)
+void upstream_health::record_success(const std::string& upstream)
 {
     const auto known = records_.find(upstream);
     if (known == records_.end()) {
--- a/src/direct/upstream_list.cpp
+++ b/src/direct/upstream_list.cpp
@@ -6,7 +6,7 @@
 
 namespace dragonflymill::direct {
 
-void upstream_list::take(const std::string& key, const fleet_fact& fact, instant now)
+void upstream_list::take(const std::string& key, const decoded_record& fact, instant now)
 {
     if (const auto* config = std::get_if<std::shared_ptr<const fleet_config>>(&fact)) {
         if (config_ == nullptr || (*config)->version() > config_->version()) {
@@ -18,7 +18,7 @@
         take_entry(key, *entry, now);
         return;
     }
-    if (const auto* out = std::get_if<domain_out>(&fact)) {
+    if (const auto* out = std::get_if<drained_domain>(&fact)) {
         domain_by_key_[key] = out->failure_domain;
         domains_out_.insert(out->failure_domain);
         return;
@@ -33,10 +33,10 @@
     upstream_state& state = known->second;
     const bool restarted = !is_new && state.entry.started_ms != entry.started_ms;
     if (is_new || restarted) {
-        state.cold_until = now + entry.cold_left;
+        state.cold_until = now + entry.cold_remaining;
     }
-    else if (entry.cold_left > duration::zero()) {
-        state.cold_until = std::max(state.cold_until, now + entry.cold_left);
+    else if (entry.cold_remaining > duration::zero()) {
+        state.cold_until = std::max(state.cold_until, now + entry.cold_remaining);
     }
     state.entry = entry;
     state.key = stable_hash(entry.id);
@@ -82,14 +82,14 @@
     }
 }
 
-auto upstream_list::takes_work(const upstream_state& upstream) const -> bool
+auto upstream_list::accepts_work(const upstream_state& upstream) const -> bool
 {
     return !upstream.entry.leaving && !domains_out_.contains(upstream.entry.failure_domain);
 }
 
 auto upstream_list::cold_time(const std::string& service) const -> duration
 {
-    const service_rule* rule = config_ == nullptr ? nullptr : config_->service_of(service);
+    const service_rule* rule = config_ == nullptr ? nullptr : config_->find_service(service);
     return rule == nullptr ? duration::zero() : rule->cold_time;
 }
 
--- a/src/edge/caller_request.h
+++ b/src/edge/caller_request.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "dragonflymill/core/error.h"
-#include "edge/answer_parser.h"
+#include "edge/response_parser.h"
 
 #include <string>
 #include <string_view>
--- a/src/edge/caller_session.h
+++ b/src/edge/caller_session.h
@@ -3,7 +3,7 @@
 #include "dragonflymill/direct/fleet_config.h"
 #include "edge/caller_request.h"
 #include "edge/loop_timers.h"
-#include "edge/outbox.h"
+#include "edge/send_queue.h"
 
 #include <array>
 #include <boost/asio/ip/tcp.hpp>
@@ -117,7 +117,7 @@
     boost::asio::ip::tcp::socket socket_;
     loop_timers& timers_;
     request_handler& handler_;
-    outbox out_;
+    send_queue out_;
     std::array<char, read_bytes> buffer_{};
     std::string in_;
     std::optional<parser> parser_;
--- a/src/edge/direct_gateway.cpp
+++ b/src/edge/direct_gateway.cpp
@@ -77,7 +77,7 @@
     , link_(loop, timers_,
             {[this](const direct::peer_datagram& datagram) { take_datagram(datagram); },
              [this](std::uint64_t after) { return records_.since(after); },
-             [this](const direct::records_extract& extract, const std::string& peer) {
+             [this](const direct::records_update& extract, const std::string& peer) {
                  take_records(extract, peer);
              },
              [this](const std::string& why) {
@@ -93,7 +93,7 @@
 {
     const auto started = runtime::wall_now().time_since_epoch().count();
     start_name_ = settings_.name + "#" + std::to_string(started);
-    fleet_.set_leave_bound(settings_.leave_bound);
+    fleet_.set_leave_bound(settings_.drain_delivery_bound);
     peers_ = direct::peer_table(start_name_, to_text(settings_.peers), settings_.seeds, settings_.millicores);
     relay_ = direct::gossip_relay(own_identity());
 }
@@ -207,28 +207,27 @@
 
 void direct_gateway::start_source()
 {
-    source_.start({[this](const direct::records_extract& extract) { take_records(extract, source_name); },
-                   [this](const std::string& why) {
-                       const bool news = !outage_.is_lost();
-                       outage_.lost(runtime::now());
-                       if (news) {
-                           log_event(event::record_source_lost, field("why", why),
-                                     field("fleet_revision", records_.revision()));
-                       }
-                   },
-                   [this] {
-                       source_read_at_ = runtime::now();
-                       if (outage_.is_lost()) {
-                           outage_.regained(source_read_at_);
-                           log_event(event::record_source_regained,
-                                     field("fleet_revision", records_.revision()));
-                       }
-                   },
-                   [this] { return records_.revision(); },
-                   [this] { return peers_.has_to_read_source(runtime::now()); }});
-}
-
-void direct_gateway::take_records(const direct::records_extract& extract, const std::string& from)
+    source_.start(
+        {[this](const direct::records_update& extract) { take_records(extract, source_name); },
+         [this](const std::string& why) {
+             const bool news = !outage_.is_lost();
+             outage_.lost(runtime::now());
+             if (news) {
+                 log_event(event::record_source_lost, field("why", why),
+                           field("fleet_revision", records_.revision()));
+             }
+         },
+         [this] {
+             source_read_at_ = runtime::now();
+             if (outage_.is_lost()) {
+                 outage_.regained(source_read_at_);
+                 log_event(event::record_source_regained, field("fleet_revision", records_.revision()));
+             }
+         },
+         [this] { return records_.revision(); }, [this] { return peers_.must_read_source(runtime::now()); }});
+}
+
+void direct_gateway::take_records(const direct::records_update& extract, const std::string& from)
 {
     const auto news = records_.apply(extract);
     for (const direct::fleet_record& record : news) {
@@ -249,13 +248,13 @@
     const instant now = runtime::now();
     const std::uint64_t version_before = fleet_.config() == nullptr ? 0 : fleet_.config()->version();
     if (record.removed) {
-        const bool after_outage = outage_.casts_doubt(now);
+        const bool after_outage = outage_.removals_unreliable(now);
         fleet_.remove(record.key, after_outage, now);
         log_event(event::fleet_changed, field("record", record.key), field("change", "removed"),
                   field("held_back", after_outage), field("revision", record.revision), field("from", from));
         return;
     }
-    const direct::fleet_fact fact = source_.decode(record);
+    const direct::decoded_record fact = source_.decode(record);
     fleet_.take(record.key, fact, now);
     if (const auto* unusable = std::get_if<direct::unusable_record>(&fact)) {
         log_event(event::record_unusable, field("record", record.key), field("why", unusable->reason),
@@ -264,11 +263,12 @@
     }
     if (const auto* entry = std::get_if<direct::upstream_entry>(&fact)) {
         log_event(event::fleet_changed, field("record", record.key),
-                  field("change", entry->leaving ? "leaving" : "present"), field("cold_us", entry->cold_left),
-                  field("revision", record.revision), field("from", from));
+                  field("change", entry->leaving ? "leaving" : "present"),
+                  field("cold_us", entry->cold_remaining), field("revision", record.revision),
+                  field("from", from));
         return;
     }
-    if (std::holds_alternative<direct::domain_out>(fact)) {
+    if (std::holds_alternative<direct::drained_domain>(fact)) {
         log_event(event::fleet_changed, field("record", record.key), field("change", "out"),
                   field("revision", record.revision), field("from", from));
         return;
@@ -301,15 +301,15 @@
         // when all start at once.
         link_.send({"", false, {full_digest()}}, {message.digest.address});
     }
-    dispatcher_.board().take_report(message.report, now);
+    dispatcher_.loads().apply_report(message.report, now);
     if (message.digest.reads_source) {
-        outage_.peer_reads(now);
+        outage_.peer_reads_source(now);
     }
 }
 
 void direct_gateway::catch_up_from_peers()
 {
-    const auto newer = peers_.newer_than(records_.revision(), fetches_failed_);
+    const auto newer = peers_.select_newer_peer(records_.revision(), fetches_failed_);
     const instant now = runtime::now();
     if (!newer) {
         behind_since_ = instant{};
@@ -351,24 +351,24 @@
 auto direct_gateway::full_digest() -> direct::peer_message
 {
     direct::peer_message message = bare_digest();
-    message.digest.peers = peers_.some_addresses(message.digest.sequence);
-    message.report.whole = true;
-    message.report.loads = dispatcher_.board().own_loads(runtime::now());
+    message.digest.peers = peers_.address_sample(message.digest.sequence);
+    message.report.is_complete = true;
+    message.report.loads = dispatcher_.loads().own_loads(runtime::now());
     return message;
 }
 
 auto direct_gateway::delta_digest(std::uint64_t since) -> direct::peer_message
 {
     direct::peer_message message = bare_digest();
-    message.report.whole = false;
-    message.report.loads = dispatcher_.board().own_loads(runtime::now(), since);
+    message.report.is_complete = false;
+    message.report.loads = dispatcher_.loads().own_loads(runtime::now(), since);
     return message;
 }
 
 void direct_gateway::send_gossip(bool at_once)
 {
     const instant now = runtime::now();
-    const direct::gossip_state state{dispatcher_.board().own_changes(), records_.revision(),
+    const direct::digest_state state{dispatcher_.loads().own_version(), records_.revision(),
                                      peers_.gateways(), !relay_.sends_to_all()};
     const auto due = gossip_schedule_.next(state, at_once, now);
     if (!due) {
@@ -377,7 +377,7 @@
     direct::peer_message message = due->whole ? full_digest() : delta_digest(due->changes_since);
     message.digest.urgent = at_once;
     if (relay_.is_relay()) {
-        relay_.add_own(message);
+        relay_.enqueue_own(message);
         schedule_flush();
     }
     if (relay_.sends_to_all()) {
@@ -385,7 +385,7 @@
     }
     else if (due->whole) {
         // Gateways that no relay knows yet, or that were cut off from all, are found again.
-        link_.send({"", false, {message}}, peers_.strangers());
+        link_.send({"", false, {message}}, peers_.unknown_addresses());
     }
     if (relay_.relay()) {
         message.digest.subscribes = true;
@@ -415,10 +415,11 @@
     const direct::relay_batch batch = relay_.take_batch();
     relay_.flushed(now);
     const std::string self = to_text(settings_.peers);
-    for (const direct::peer_datagram& datagram : direct::datagrams_of(batch.for_subscribers, self, false)) {
+    for (const direct::peer_datagram& datagram :
+         direct::split_into_datagrams(batch.for_subscribers, self, false)) {
         link_.send(datagram, relay_.subscribers());
     }
-    for (const direct::peer_datagram& datagram : direct::datagrams_of(batch.for_relays, self, true)) {
+    for (const direct::peer_datagram& datagram : direct::split_into_datagrams(batch.for_relays, self, true)) {
         link_.send(datagram, relay_.other_relays(peers_, now));
     }
 }
@@ -453,11 +454,11 @@
     // A long prompt keeps many engines busy: another gateway that learns of it late sends its own there too.
     const bool long_sent =
         std::any_of(round.orders.begin(), round.orders.end(),
-                    [](const direct::dispatch_order& order) { return order.choice.is_long; });
+                    [](const direct::dispatch_assignment& order) { return order.choice.is_long; });
     if (long_sent) {
         send_gossip(true);
     }
-    for (const direct::dispatch_order& order : round.orders) {
+    for (const direct::dispatch_assignment& order : round.orders) {
         if (const auto found = exchanges_.find(order.call); found != exchanges_.end()) {
             const auto kept = found->second;
             kept->dispatched(order);
@@ -484,8 +485,8 @@
     const instant now = runtime::now();
     fleet_.tick(now);
     dispatcher_.report_suspects(fleet_, now);
-    for (const std::string& gone : peers_.forget_silent(now)) {
-        dispatcher_.board().forget_gateway(gone);
+    for (const std::string& gone : peers_.expire_peers(now)) {
+        dispatcher_.loads().remove_gateway(gone);
         log_event(event::peer_gateway_lost, field("peer", gone));
     }
     count_gateways();
@@ -552,8 +553,8 @@
     settings_.seeds = fresh->seeds;
     settings_.retries = fresh->retries;
     settings_.grace = fresh->grace;
-    settings_.leave_bound = fresh->leave_bound;
-    fleet_.set_leave_bound(settings_.leave_bound);
+    settings_.drain_delivery_bound = fresh->drain_delivery_bound;
+    fleet_.set_leave_bound(settings_.drain_delivery_bound);
     peers_.set_seeds(settings_.seeds);
     dispatcher_.set_settings(
         {settings_.failure_domain, settings_.retries, stable_hash(to_text(settings_.peers))});
@@ -569,8 +570,8 @@
     log_event(event::gateway_stopping, field("requests", exchanges_.size()));
     note_ready();
     send_gossip(true);
-    timers_.at(stop_begun_ + settings_.balancer_lag, [this] { stop_accepting(); });
-    timers_.at(stop_begun_ + std::max(settings_.grace - end_before_kill, settings_.balancer_lag),
+    timers_.at(stop_begun_ + settings_.deregistration_delay, [this] { stop_accepting(); });
+    timers_.at(stop_begun_ + std::max(settings_.grace - end_before_kill, settings_.deregistration_delay),
                [this] { end(); });
 }
 
--- a/src/edge/direct_gateway.h
+++ b/src/edge/direct_gateway.h
@@ -33,21 +33,22 @@
 /// Settings of a gateway that reaches upstreams directly.
 struct direct_gateway_settings
 {
-    std::string name;               ///< Of this host's process, in logs.
-    std::string failure_domain;     ///< Where it runs.
-    socket_address callers;         ///< Where callers come.
-    socket_address ready;           ///< Where the balancer asks.
-    socket_address peers;           ///< Where other gateways reach it.
-    socket_address metrics;         ///< Where counters are served; empty for nowhere.
-    std::vector<std::string> seeds; ///< Addresses of gateways to begin with.
-    direct::retry_bounds retries;   ///< Of second attempts.
-    int millicores = 0;             ///< Processor of its host, in thousandths of a core; 0: not stated.
-    duration leave_bound = 2s;      ///< Work may reach an upstream for so long after it said that it leaves.
-    duration grace = 8s;            ///< From the signal to stop until the process is killed.
+    std::string name;                    ///< Of this host's process, in logs.
+    std::string failure_domain;          ///< Where it runs.
+    socket_address callers;              ///< Where callers come.
+    socket_address ready;                ///< Where the balancer asks.
+    socket_address peers;                ///< Where other gateways reach it.
+    socket_address metrics;              ///< Where counters are served; empty for nowhere.
+    std::vector<std::string> seeds;      ///< Addresses of gateways to begin with.
+    direct::retry_budget_limits retries; ///< Of second attempts.
+    int millicores = 0;                  ///< Processor of its host, in thousandths of a core; 0: not stated.
+    duration drain_delivery_bound =
+        2s;              ///< Work may reach an upstream for so long after it said that it leaves.
+    duration grace = 8s; ///< From the signal to stop until the process is killed.
     /// From the signal to stop, callers are still served for so long: the balancer asks once a second and
     /// takes a gateway out after the second refusal, and the connections that it made before arrive a little
     /// later.
-    duration balancer_lag = 3s;
+    duration deregistration_delay = 3s;
 
     friend auto operator==(const direct_gateway_settings&, const direct_gateway_settings&) -> bool = default;
 };
@@ -94,7 +95,7 @@
     void accept(boost::asio::ip::tcp::acceptor& acceptor, request_handler& handler);
     void accept_callers();
     void start_source();
-    void take_records(const direct::records_extract& extract, const std::string& from);
+    void take_records(const direct::records_update& extract, const std::string& from);
     void take_record(const direct::fleet_record& record, const std::string& from);
     void take_datagram(const direct::peer_datagram& datagram);
     void take_message(const direct::peer_message& message, instant now);
@@ -131,7 +132,7 @@
     direct::fleet_records records_;
     direct::upstream_list fleet_;
     direct::call_dispatcher dispatcher_;
-    direct::return_detector returns_;
+    direct::client_retry_detector returns_;
     direct::peer_table peers_;
     direct::gossip_relay relay_;
     exchange_context context_;
--- a/src/edge/exchange.cpp
+++ b/src/edge/exchange.cpp
@@ -51,10 +51,10 @@
 }
 
 /// Ids of the engines that read a part, for the log: at most as many as read one prompt.
-auto helper_list(const direct::dispatch_order& order) -> std::string
+auto helper_list(const direct::dispatch_assignment& order) -> std::string
 {
     std::string list;
-    for (const direct::dispatch_helper& helper : order.helpers) {
+    for (const direct::prefill_engine& helper : order.prefill_engines) {
         list.append(list.empty() ? "" : " ").append(helper.upstream.id);
     }
     return list;
@@ -124,7 +124,7 @@
                "a field came twice");
         return false;
     }
-    route_ = config_->route_of(host_of(request_.value_of("host")), request_.path());
+    route_ = config_->match_route(host_of(request_.value_of("host")), request_.path());
     if (route_ == nullptr) {
         refuse(404, {refusal_code::no_route, ran_state::no, 0s, "check host and path"}, "no route matches");
         return false;
@@ -156,17 +156,17 @@
     const auto comma = counts.find(',');
     wait_.prompt_tokens = count_or_zero(counts.substr(0, comma));
     wait_.answer_tokens = comma == std::string_view::npos ? 0 : count_or_zero(counts.substr(comma + 1));
-    wait_.pause_aim = route_->pause_aim;
+    wait_.tbt_target = route_->tbt_target;
     wait_.priority = account_ != nullptr ? account_->priority.value_or(route_->priority) : route_->priority;
-    wait_.aim_at = arrived_ + route_->answer_aim;
-    wait_.aim = route_->answer_aim;
-    wait_.leaves_at = arrived_ + std::min(limit, direct::caller_patience(*route_));
-    wait_.limit_at = limit_at_;
+    wait_.latency_target_at = arrived_ + route_->latency_target;
+    wait_.aim = route_->latency_target;
+    wait_.client_timeout_at = arrived_ + std::min(limit, direct::client_timeout_for(*route_));
+    wait_.deadline_at = limit_at_;
     const duration elapsed = context_.returns.elapsed(route_->name, limit, arrived_);
     const duration longest_wait = elapsed > duration::zero()
-                                      ? (wait_.leaves_at - arrived_) * last_wait_percent / 100
-                                      : route_->answer_aim * 5 / 4;
-    wait_.give_up_at = std::min(limit_at_ - direct::least_time_for_attempt, arrived_ + longest_wait);
+                                      ? (wait_.client_timeout_at - arrived_) * last_wait_percent / 100
+                                      : route_->latency_target * 5 / 4;
+    wait_.queue_timeout_at = std::min(limit_at_ - direct::min_attempt_time, arrived_ + longest_wait);
 }
 
 auto exchange::authenticate() -> bool
@@ -175,9 +175,9 @@
     const std::string& scheme = context_.names.key_scheme;
     if (key.size() > scheme.size() && iequals(key.substr(0, scheme.size()), scheme)) {
         key.remove_prefix(scheme.size());
-        account_ = config_->account_of(std::string(key));
+        account_ = config_->find_account(std::string(key));
     }
-    return account_ != nullptr || route_->anonymous || !config_->keys_needed();
+    return account_ != nullptr || route_->anonymous || !config_->requires_api_key();
 }
 
 void exchange::wait_for_upstream()
@@ -187,7 +187,7 @@
     context_.decide_soon();
 }
 
-void exchange::dispatched(const direct::dispatch_order& order)
+void exchange::dispatched(const direct::dispatch_assignment& order)
 {
     const instant now = runtime::now();
     waiting_ = false;
@@ -199,24 +199,24 @@
     head_ = {};
     body_.clear();
     relay_.begin_attempt();
-    log_event(event::call_dispatched, field("request", request_name_),
-              field("attempt", wait_.attempts.count()), field("upstream", order.upstream.id),
-              field("helpers", helper_list(order)), field("reason", order.choice.reason),
-              field("waited_us", now - arrived_), field("waited_for", direct::to_string(order.waited_for)),
-              field("forecast_us", order.choice.first_token), field("prompt_tokens", wait_.prompt_tokens),
-              field("answer_tokens", wait_.answer_tokens),
-              field("short_calls", order.choice.load.short_calls),
-              field("long_calls", order.choice.load.long_calls), field("parts", order.choice.load.parts),
-              field("memory_tokens", order.choice.load.memory_tokens),
-              field("reading_us", order.choice.load.reading), field("config_version", config_->version()),
-              field("fleet_revision", context_.records.revision()));
+    log_event(
+        event::call_dispatched, field("request", request_name_), field("attempt", wait_.attempts.count()),
+        field("upstream", order.upstream.id), field("helpers", helper_list(order)),
+        field("reason", order.choice.reason), field("waited_us", now - arrived_),
+        field("waited_for", direct::to_string(order.waited_for)),
+        field("forecast_us", order.choice.first_token), field("prompt_tokens", wait_.prompt_tokens),
+        field("answer_tokens", wait_.answer_tokens), field("short_calls", order.choice.load.short_calls),
+        field("long_calls", order.choice.load.long_calls), field("parts", order.choice.load.parts),
+        field("memory_tokens", order.choice.load.memory_tokens),
+        field("reading_us", order.choice.load.pending_prefill), field("config_version", config_->version()),
+        field("fleet_revision", context_.records.revision()));
     reserve_memory();
 }
 
 void exchange::reserve_memory()
 {
     std::vector<memory_reservation::piece> pieces;
-    for (const direct::dispatch_helper& helper : order_->helpers) {
+    for (const direct::prefill_engine& helper : order_->prefill_engines) {
         if (helper.reserved_tokens > 0) {
             pieces.push_back({helper.upstream.address, helper.reserved_tokens});
         }
@@ -245,10 +245,10 @@
 void exchange::reservation_failed(const std::vector<std::string>& unreachable)
 {
     const instant now = runtime::now();
-    for (const direct::dispatch_helper& helper : order_->helpers) {
+    for (const direct::prefill_engine& helper : order_->prefill_engines) {
         const direct::upstream_entry& engine = helper.upstream;
         if (std::find(unreachable.begin(), unreachable.end(), engine.address) != unreachable.end()) {
-            context_.dispatcher.health().ended(engine.id, attempt_end::not_sent, now);
+            context_.dispatcher.health().record_end(engine.id, attempt_end::not_sent, now);
             wait_.attempts.ended(attempt_end::not_sent, {engine.id, engine.failure_domain}, now);
         }
     }
@@ -260,18 +260,18 @@
     take_step(next_step::try_again, why);
 }
 
-auto exchange::may_still_send(const direct::dispatch_order& order) const -> bool
+auto exchange::may_still_send(const direct::dispatch_assignment& order) const -> bool
 {
     // Memory was being reserved since the decision: the upstream may have begun to leave in that time.
     const auto& upstreams = context_.fleet.upstreams();
     const auto known = upstreams.find(order.upstream.id);
-    return known != upstreams.end() && context_.fleet.takes_work(known->second);
+    return known != upstreams.end() && context_.fleet.accepts_work(known->second);
 }
 
 void exchange::send()
 {
     const instant now = runtime::now();
-    const direct::dispatch_order& order = *order_;
+    const direct::dispatch_assignment& order = *order_;
     if (!may_still_send(order)) {
         wait_.not_before = now;
         release_upstream();
@@ -287,16 +287,16 @@
     watch_stall();
 }
 
-auto exchange::own_fields(const direct::dispatch_order& order, instant now) const -> gateway_fields
+auto exchange::own_fields(const direct::dispatch_assignment& order, instant now) const -> gateway_fields
 {
     gateway_fields own;
     own.time_left = limit_at_ - now;
     own.upstream = order.upstream.id;
     own.account = account_ == nullptr ? "" : account_->name;
     own.resume_after = relay_.last_id();
-    if (!order.helpers.empty()) {
+    if (!order.prefill_engines.empty()) {
         std::vector<helper_reference> list;
-        for (const direct::dispatch_helper& helper : order.helpers) {
+        for (const direct::prefill_engine& helper : order.prefill_engines) {
             list.push_back({helper.upstream.address, helper.reserved_tokens > 0 ? memory_->name() : ""});
         }
         own.helpers = context_.orders.list_helpers(list);
@@ -307,8 +307,8 @@
 auto exchange::stall_timeout_for() const -> duration
 {
     const bool begun = mode_ == answer_mode::events && events_ > 0;
-    const auto load = context_.dispatcher.board().load_of(order_->upstream.id, runtime::now());
-    return direct::stall_timeout_for(*route_, {begun, load.reading});
+    const auto load = context_.dispatcher.loads().load_of(order_->upstream.id, runtime::now());
+    return direct::stall_timeout_for(*route_, {begun, load.pending_prefill});
 }
 
 void exchange::watch_stall()
@@ -339,11 +339,11 @@
     state.may_have_run = true;
     ++state.attempts_run;
     // An answer that may still come is better than a failure: the upstream is given up only for another.
-    if (direct::after_attempt(attempt_end::broken, state) != next_step::try_again) {
+    if (direct::decide_next_step(attempt_end::broken, state) != next_step::try_again) {
         return;
     }
-    const auto load = context_.dispatcher.board().load_of(order_->upstream.id, now);
-    if (direct::is_busy_reading(load.reading)) {
+    const auto load = context_.dispatcher.loads().load_of(order_->upstream.id, now);
+    if (direct::is_busy_prefilling(load.pending_prefill)) {
         end_attempt(attempt_end::overtaken, "the upstream is busy with other prompts");
         return;
     }
@@ -452,7 +452,7 @@
 {
     const instant now = runtime::now();
     if (mode_ == answer_mode::events) {
-        if (relay_.inside_event()) {
+        if (relay_.has_partial_event()) {
             end_attempt(attempt_end::broken, "the stream ended inside an event");
             return;
         }
@@ -464,7 +464,7 @@
         end_attempt(attempt_end::failed, "status " + std::to_string(head_.status));
         return;
     }
-    context_.dispatcher.health().succeeded(order_->upstream.id);
+    context_.dispatcher.health().record_success(order_->upstream.id);
     context_.dispatcher.first_token(order_->placed, now);
     answer_whole();
 }
@@ -501,18 +501,18 @@
     state.rejections = wait_.attempts.rejections();
     state.max_attempts = route_->max_attempts;
     state.time_left = limit_at_ - now;
-    state.budget_left = context_.dispatcher.retry_left(wait_.service, now);
+    state.budget_left = context_.dispatcher.retry_allowed(wait_.service, now);
     return state;
 }
 
-auto exchange::lost_reader() const -> const direct::dispatch_helper*
+auto exchange::lost_reader() const -> const direct::prefill_engine*
 {
     const std::string_view at_fault = head_.value_of(context_.names.at_fault);
-    const auto named = [&](const direct::dispatch_helper& helper) {
+    const auto named = [&](const direct::prefill_engine& helper) {
         return helper.upstream.id == at_fault || helper.upstream.address == at_fault;
     };
-    const auto found = std::find_if(order_->helpers.begin(), order_->helpers.end(), named);
-    return at_fault.empty() || found == order_->helpers.end() ? nullptr : &*found;
+    const auto found = std::find_if(order_->prefill_engines.begin(), order_->prefill_engines.end(), named);
+    return at_fault.empty() || found == order_->prefill_engines.end() ? nullptr : &*found;
 }
 
 void exchange::end_attempt(attempt_end end, const std::string& why)
@@ -522,12 +522,12 @@
     }
     const instant now = runtime::now();
     const std::string upstream = order_->upstream.id;
-    const direct::dispatch_helper* reader = end == attempt_end::reader_lost ? lost_reader() : nullptr;
+    const direct::prefill_engine* reader = end == attempt_end::reader_lost ? lost_reader() : nullptr;
     const direct::upstream_entry& at_fault = reader == nullptr ? order_->upstream : reader->upstream;
-    context_.dispatcher.health().ended(at_fault.id, end, now);
+    context_.dispatcher.health().record_end(at_fault.id, end, now);
     wait_.attempts.ended(end, {at_fault.id, at_fault.failure_domain}, now);
     release_upstream();
-    const next_step step = direct::after_attempt(end, progress(now));
+    const next_step step = direct::decide_next_step(end, progress(now));
     context_.metrics.attempts_failed.add();
     log_attempt_ended(upstream, end, why, step);
     take_step(step, why);
@@ -547,7 +547,7 @@
 {
     switch (step) {
     case next_step::try_again:
-        wait_.give_up_at = limit_at_ - direct::least_time_for_attempt;
+        wait_.queue_timeout_at = limit_at_ - direct::min_attempt_time;
         wait_for_upstream();
         return;
     case next_step::pass_failure:
--- a/src/edge/exchange.h
+++ b/src/edge/exchange.h
@@ -2,9 +2,9 @@
 
 #include "dragonflymill/core/refusal.h"
 #include "dragonflymill/direct/call_dispatcher.h"
+#include "dragonflymill/direct/client_retry_detector.h"
 #include "dragonflymill/direct/event_relay.h"
 #include "dragonflymill/direct/fleet_records.h"
-#include "dragonflymill/direct/return_detector.h"
 #include "dragonflymill/direct/upstream_list.h"
 #include "edge/caller_session.h"
 #include "edge/gateway_metrics.h"
@@ -29,7 +29,7 @@
     const header_names& names;               ///< Of the outside systems.
     const upstream_orders& orders;           ///< How engines are told to set memory aside.
     direct::call_dispatcher& dispatcher;     ///< Decides where calls go.
-    direct::return_detector& returns;        ///< Tells returning callers.
+    direct::client_retry_detector& returns;  ///< Tells returning callers.
     const direct::upstream_list& fleet;      ///< Configuration and upstreams.
     const direct::fleet_records& records;    ///< For the revision in log lines.
     gateway_metrics& metrics;                ///< Counts.
@@ -50,7 +50,7 @@
     /// Checks the request and lets it wait for an upstream, or answers it at once.
     void begin();
     /// It goes to an upstream now.
-    void dispatched(const direct::dispatch_order& order);
+    void dispatched(const direct::dispatch_assignment& order);
     /// It can't be served.
     void refused(const direct::dispatch_refusal& refusal);
     /// The process stops now: ends it as it is. A caller whose request has not run is asked to come back
@@ -80,9 +80,10 @@
     void wait_for_upstream();
     void reserve_memory();
     void reservation_failed(const std::vector<std::string>& unreachable);
-    [[nodiscard]] auto may_still_send(const direct::dispatch_order& order) const -> bool;
+    [[nodiscard]] auto may_still_send(const direct::dispatch_assignment& order) const -> bool;
     void send();
-    [[nodiscard]] auto own_fields(const direct::dispatch_order& order, instant now) const -> gateway_fields;
+    [[nodiscard]] auto own_fields(const direct::dispatch_assignment& order, instant now) const
+        -> gateway_fields;
     void relay(const std::string& bytes);
     [[nodiscard]] auto passed_fields() const -> std::vector<header_field>;
     void pass_head();
@@ -90,7 +91,7 @@
     void watch_stall();
     void silence(std::uint64_t attempt);
     void end_attempt(direct::attempt_end end, const std::string& why);
-    [[nodiscard]] auto lost_reader() const -> const direct::dispatch_helper*;
+    [[nodiscard]] auto lost_reader() const -> const direct::prefill_engine*;
     [[nodiscard]] auto may_have_run() const -> bool { return wait_.attempts.run() > 0; }
     [[nodiscard]] auto progress(instant now) const -> direct::request_progress;
     void log_attempt_ended(const std::string& upstream, direct::attempt_end end, const std::string& why,
@@ -119,7 +120,7 @@
 
     std::shared_ptr<memory_reservation> memory_;
     std::shared_ptr<upstream_call> call_;
-    std::optional<direct::dispatch_order> order_;
+    std::optional<direct::dispatch_assignment> order_;
     instant sent_at_{};
     instant heard_at_{};
 
--- a/src/edge/peer_codec.cpp
+++ b/src/edge/peer_codec.cpp
@@ -20,7 +20,7 @@
     encoded.set_relaying(digest.relaying);
     encoded.set_subscribes(digest.subscribes);
     encoded.set_urgent(digest.urgent);
-    encoded.set_whole_loads(message.report.whole);
+    encoded.set_whole_loads(message.report.is_complete);
     for (const std::string& peer : digest.peers) {
         encoded.add_peers(peer);
     }
@@ -30,11 +30,11 @@
         entry.set_short_calls(static_cast<std::uint32_t>(load.short_calls));
         entry.set_long_calls(static_cast<std::uint32_t>(load.long_calls));
         entry.set_unread_calls(static_cast<std::uint32_t>(load.unread_calls));
-        entry.set_tightest_pause_us(static_cast<std::uint64_t>(load.tightest_pause.count()));
+        entry.set_tightest_pause_us(static_cast<std::uint64_t>(load.tightest_tbt_target.count()));
         entry.set_suspect(load.suspected_by > 0);
         entry.set_parts(static_cast<std::uint32_t>(load.parts));
         entry.set_memory_tokens(static_cast<std::uint64_t>(load.memory_tokens));
-        entry.set_reading_us(static_cast<std::uint64_t>(load.reading.count()));
+        entry.set_reading_us(static_cast<std::uint64_t>(load.pending_prefill.count()));
     }
 }
 
@@ -56,7 +56,7 @@
     digest.urgent = encoded.urgent();
     message.report.gateway = encoded.gateway();
     message.report.sequence = encoded.sequence();
-    message.report.whole = encoded.whole_loads();
+    message.report.is_complete = encoded.whole_loads();
     for (const wire::UpstreamLoad& entry : encoded.loads()) {
         direct::upstream_load& load = message.report.loads[entry.upstream()];
         load.short_calls = static_cast<std::int32_t>(entry.short_calls());
@@ -64,9 +64,9 @@
         load.unread_calls = static_cast<std::int32_t>(entry.unread_calls());
         load.parts = static_cast<std::int32_t>(entry.parts());
         load.memory_tokens = static_cast<std::int64_t>(entry.memory_tokens());
-        load.tightest_pause = duration(static_cast<duration::rep>(entry.tightest_pause_us()));
+        load.tightest_tbt_target = duration(static_cast<duration::rep>(entry.tightest_pause_us()));
         load.suspected_by = entry.suspect() ? 1 : 0;
-        load.reading = duration(static_cast<duration::rep>(entry.reading_us()));
+        load.pending_prefill = duration(static_cast<duration::rep>(entry.reading_us()));
     }
     return message;
 }
@@ -101,7 +101,7 @@
     return datagram;
 }
 
-auto encode_extract(const direct::records_extract& extract) -> std::string
+auto encode_extract(const direct::records_update& extract) -> std::string
 {
     wire::RecordsReply reply;
     reply.set_as_of(extract.as_of);
@@ -116,13 +116,13 @@
     return reply.SerializeAsString();
 }
 
-auto decode_extract(std::string_view bytes) -> std::optional<direct::records_extract>
+auto decode_extract(std::string_view bytes) -> std::optional<direct::records_update>
 {
     wire::RecordsReply reply;
     if (!reply.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
         return std::nullopt;
     }
-    direct::records_extract extract;
+    direct::records_update extract;
     extract.as_of = reply.as_of();
     extract.whole = reply.whole();
     for (const wire::FleetRecord& encoded : reply.records()) {
--- a/src/edge/peer_codec.h
+++ b/src/edge/peer_codec.h
@@ -14,8 +14,8 @@
 /// Reads a datagram; nothing if it isn't one of ours.
 [[nodiscard]] auto decode_datagram(std::string_view bytes) -> std::optional<direct::peer_datagram>;
 /// Writes records as one gateway hands them to another.
-[[nodiscard]] auto encode_extract(const direct::records_extract& extract) -> std::string;
+[[nodiscard]] auto encode_extract(const direct::records_update& extract) -> std::string;
 /// Reads them.
-[[nodiscard]] auto decode_extract(std::string_view bytes) -> std::optional<direct::records_extract>;
+[[nodiscard]] auto decode_extract(std::string_view bytes) -> std::optional<direct::records_update>;
 
 } // namespace dragonflymill::edge
--- a/src/edge/peer_link.h
+++ b/src/edge/peer_link.h
@@ -25,9 +25,9 @@
     /// What the link tells.
     struct handlers
     {
-        std::function<void(const direct::peer_datagram&)> on_datagram;       ///< A datagram came.
-        std::function<direct::records_extract(std::uint64_t)> records_since; ///< For a peer that asks.
-        std::function<void(const direct::records_extract&, const std::string&)>
+        std::function<void(const direct::peer_datagram&)> on_datagram;      ///< A datagram came.
+        std::function<direct::records_update(std::uint64_t)> records_since; ///< For a peer that asks.
+        std::function<void(const direct::records_update&, const std::string&)>
             on_records;                                          ///< A peer answered.
         std::function<void(const std::string&)> on_fetch_failed; ///< It didn't; why.
     };
--- a/src/edge/record_source.h
+++ b/src/edge/record_source.h
@@ -15,10 +15,10 @@
     /// What a source tells.
     struct handlers
     {
-        std::function<void(const direct::records_extract&)> on_records; ///< Records came.
-        std::function<void(const std::string& why)> on_lost;            ///< It can't be reached or used.
-        std::function<void()> on_regained;                              ///< It answers again.
-        std::function<std::uint64_t()> known_revision;                  ///< From where it is to go on.
+        std::function<void(const direct::records_update&)> on_records; ///< Records came.
+        std::function<void(const std::string& why)> on_lost;           ///< It can't be reached or used.
+        std::function<void()> on_regained;                             ///< It answers again.
+        std::function<std::uint64_t()> known_revision;                 ///< From where it is to go on.
         std::function<bool()> wanted; ///< Whether to read now, or to rest since others read.
     };
 
@@ -32,7 +32,7 @@
     /// Ends all that is under way.
     virtual void stop() = 0;
     /// What a record says.
-    [[nodiscard]] virtual auto decode(const direct::fleet_record& record) const -> direct::fleet_fact = 0;
+    [[nodiscard]] virtual auto decode(const direct::fleet_record& record) const -> direct::decoded_record = 0;
 };
 
 } // namespace dragonflymill::edge
--- a/src/edge/answer_parser.cpp
+++ b/src/edge/response_parser.cpp
@@ -1,4 +1,4 @@
-#include "edge/answer_parser.h"
+#include "edge/response_parser.h"
 
 #include <boost/asio/buffer.hpp>
 #include <boost/beast/http/error.hpp>
@@ -12,7 +12,7 @@
     return http::first_value(fields, name);
 }
 
-answer_parser::answer_parser(bool no_body)
+response_parser::response_parser(bool no_body)
 {
     parser_.eager(true);
     parser_.skip(no_body);
@@ -20,7 +20,7 @@
     parser_.body_limit(boost::none);
 }
 
-auto answer_parser::take(std::string_view bytes, std::string& body) -> answer_state
+auto response_parser::take(std::string_view bytes, std::string& body) -> response_state
 {
     rest_.append(bytes);
     parser_.body = &body;
@@ -31,7 +31,7 @@
             parser_.put(boost::asio::const_buffer(rest_.data() + used, rest_.size() - used), failed);
         used += taken;
         if (failed && failed != beast_http::error::need_more) {
-            state_ = answer_state::invalid;
+            state_ = response_state::invalid;
             return state_;
         }
         if (failed == beast_http::error::need_more || taken == 0) {
@@ -40,78 +40,78 @@
     }
     rest_.erase(0, used);
     if (parser_.is_done()) {
-        state_ = answer_state::complete;
+        state_ = response_state::complete;
     }
     else if (parser_.is_header_done()) {
-        state_ = answer_state::body;
+        state_ = response_state::body;
         ends_with_connection_ = parser_.need_eof();
     }
     return state_;
 }
 
-auto answer_parser::take_end() -> answer_state
+auto response_parser::take_eof() -> response_state
 {
-    if (state_ == answer_state::complete) {
+    if (state_ == response_state::complete) {
         return state_;
     }
     boost::beast::error_code failed;
-    if (state_ == answer_state::body && ends_with_connection_) {
+    if (state_ == response_state::body && ends_with_connection_) {
         parser_.put_eof(failed);
-        state_ = failed ? answer_state::invalid : answer_state::complete;
+        state_ = failed ? response_state::invalid : response_state::complete;
         return state_;
     }
-    state_ = answer_state::invalid;
+    state_ = response_state::invalid;
     return state_;
 }
 
-void answer_parser::parser::on_response_impl(int code, string_view reason, int /*version*/,
-                                             error_code& failed)
+void response_parser::parser::on_response_impl(int code, string_view reason, int /*version*/,
+                                               error_code& failed)
 {
     failed = {};
     head.status = static_cast<unsigned>(code);
     head.reason.assign(reason.data(), reason.size());
 }
 
-void answer_parser::parser::on_field_impl(field_name /*known*/, string_view name, string_view value,
-                                          error_code& failed)
+void response_parser::parser::on_field_impl(field_name /*known*/, string_view name, string_view value,
+                                            error_code& failed)
 {
     failed = {};
     head.fields.push_back({std::string(name.data(), name.size()), std::string(value.data(), value.size())});
 }
 
-void answer_parser::parser::on_header_impl(error_code& failed)
+void response_parser::parser::on_header_impl(error_code& failed)
 {
     failed = {};
 }
 
-void answer_parser::parser::on_body_init_impl(const boost::optional<std::uint64_t>& /*length*/,
-                                              error_code& failed)
+void response_parser::parser::on_body_init_impl(const boost::optional<std::uint64_t>& /*length*/,
+                                                error_code& failed)
 {
     failed = {};
 }
 
-auto answer_parser::parser::on_body_impl(string_view bytes, error_code& failed) -> std::size_t
+auto response_parser::parser::on_body_impl(string_view bytes, error_code& failed) -> std::size_t
 {
     failed = {};
     body->append(bytes.data(), bytes.size());
     return bytes.size();
 }
 
-void answer_parser::parser::on_chunk_header_impl(std::uint64_t /*size*/, string_view /*extensions*/,
-                                                 error_code& failed)
+void response_parser::parser::on_chunk_header_impl(std::uint64_t /*size*/, string_view /*extensions*/,
+                                                   error_code& failed)
 {
     failed = {};
 }
 
-auto answer_parser::parser::on_chunk_body_impl(std::uint64_t /*remain*/, string_view bytes,
-                                               error_code& failed) -> std::size_t
+auto response_parser::parser::on_chunk_body_impl(std::uint64_t /*remain*/, string_view bytes,
+                                                 error_code& failed) -> std::size_t
 {
     failed = {};
     body->append(bytes.data(), bytes.size());
     return bytes.size();
 }
 
-void answer_parser::parser::on_finish_impl(error_code& failed)
+void response_parser::parser::on_finish_impl(error_code& failed)
 {
     failed = {};
 }
--- a/src/edge/answer_parser.h
+++ b/src/edge/response_parser.h
@@ -27,7 +27,7 @@
 };
 
 /// Where an answer stands.
-enum class answer_state
+enum class response_state
 {
     head,     ///< Its head isn't whole yet.
     body,     ///< The head is there, the body isn't whole yet.
@@ -36,19 +36,19 @@
 };
 
 /// Reads one answer from the bytes of a connection. Knows nothing of sockets.
-class answer_parser
+class response_parser
 {
 public:
     /// `no_body` for the answer to a HEAD request.
-    explicit answer_parser(bool no_body);
+    explicit response_parser(bool no_body);
 
     /// Takes the next bytes. Body bytes are appended to `body`.
-    auto take(std::string_view bytes, std::string& body) -> answer_state;
+    auto take(std::string_view bytes, std::string& body) -> response_state;
     /// The upstream closed its side in order. An answer without a length is complete then.
-    auto take_end() -> answer_state;
+    auto take_eof() -> response_state;
 
     /// Where it stands.
-    [[nodiscard]] auto state() const -> answer_state { return state_; }
+    [[nodiscard]] auto state() const -> response_state { return state_; }
     /// The head; whole from state `body` on.
     [[nodiscard]] auto head() const -> const answer_head& { return parser_.head; }
     /// Whether the end of the connection is the end of the answer.
@@ -92,7 +92,7 @@
 
     parser parser_;
     std::string rest_;
-    answer_state state_ = answer_state::head;
+    response_state state_ = response_state::head;
     bool ends_with_connection_ = false;
 };
 
--- a/src/edge/outbox.cpp
+++ b/src/edge/send_queue.cpp
@@ -1,4 +1,4 @@
-#include "edge/outbox.h"
+#include "edge/send_queue.h"
 
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/error.hpp>
@@ -7,7 +7,7 @@
 
 namespace asio = boost::asio;
 
-auto outbox::send(std::string_view bytes, const std::shared_ptr<void>& owner) -> bool
+auto send_queue::send(std::string_view bytes, const std::shared_ptr<void>& owner) -> bool
 {
     if (queue_.empty()) {
         boost::system::error_code failed;
@@ -25,7 +25,7 @@
     return true;
 }
 
-void outbox::wait_for_room(const std::shared_ptr<void>& owner)
+void send_queue::wait_for_room(const std::shared_ptr<void>& owner)
 {
     if (writing_) {
         return;
--- a/src/edge/outbox.h
+++ b/src/edge/send_queue.h
@@ -11,14 +11,14 @@
 
 /// Bytes on their way into a socket. Writes at once what the socket takes, since an event of a stream may
 /// wait nowhere, and keeps the rest until there is room.
-class outbox
+class send_queue
 {
 public:
     /// Called when a write failed, or when all bytes are written.
     using handler = std::function<void(bool failed)>;
 
     /// Writes into `socket`, which outlives it; `keep` keeps the owner alive while a write is under way.
-    explicit outbox(boost::asio::ip::tcp::socket& socket)
+    explicit send_queue(boost::asio::ip::tcp::socket& socket)
         : socket_(socket)
     {
     }
--- a/src/edge/upstream_call.cpp
+++ b/src/edge/upstream_call.cpp
@@ -99,17 +99,17 @@
     const auto self = shared_from_this();
     std::string body;
     auto state = parser_->take(bytes, body);
-    while (state == answer_state::complete && parser_->is_interim()) {
+    while (state == response_state::complete && parser_->is_interim()) {
         // An interim answer promises nothing; the real one follows.
         const std::string rest = parser_->excess();
         parser_.emplace(no_body_);
         state = parser_->take(rest, body);
     }
-    if (state == answer_state::invalid) {
+    if (state == response_state::invalid) {
         fail(attempt_end::broken, "the answer isn't one in the protocol");
         return;
     }
-    if (state == answer_state::head) {
+    if (state == response_state::head) {
         return;
     }
     if (!head_passed_) {
@@ -121,7 +121,7 @@
     if (receiver_ != nullptr && !body.empty()) {
         receiver_->answer_body_came(body);
     }
-    if (receiver_ != nullptr && state == answer_state::complete) {
+    if (receiver_ != nullptr && state == response_state::complete) {
         answer_receiver* receiver = std::exchange(receiver_, nullptr);
         close();
         receiver->answer_completed();
@@ -131,7 +131,7 @@
 void upstream_call::ended(const boost::system::error_code& failed)
 {
     const bool in_order = failed == asio::error::eof;
-    if (in_order && parser_->take_end() == answer_state::complete && head_passed_) {
+    if (in_order && parser_->take_eof() == response_state::complete && head_passed_) {
         answer_receiver* receiver = std::exchange(receiver_, nullptr);
         close();
         receiver->answer_completed();
--- a/src/edge/upstream_call.h
+++ b/src/edge/upstream_call.h
@@ -1,9 +1,9 @@
 #pragma once
 
 #include "dragonflymill/direct/attempt_rules.h"
-#include "edge/answer_parser.h"
 #include "edge/loop_timers.h"
-#include "edge/outbox.h"
+#include "edge/response_parser.h"
+#include "edge/send_queue.h"
 
 #include <array>
 #include <boost/asio/ip/tcp.hpp>
@@ -69,9 +69,9 @@
     boost::asio::ip::tcp::socket socket_;
     loop_timers& timers_;
     answer_receiver* receiver_;
-    outbox out_;
+    send_queue out_;
     std::string request_;
-    std::optional<answer_parser> parser_;
+    std::optional<response_parser> parser_;
     std::array<char, read_bytes> buffer_{};
     std::optional<timer_id> connect_timer_;
     bool no_body_ = false;
--- a/tests/bench/direct_decision_bench.cpp
+++ b/tests/bench/direct_decision_bench.cpp
@@ -32,9 +32,9 @@
     route.name = "chat";
     route.kind = call_kind::streaming;
     route.services = {{service_name, 1}};
-    route.pause_aim = 250ms;
+    route.tbt_target = 250ms;
     parts.routes = {route};
-    const engine_figures figures{slots_each, 450'000, 73, 0.925, 0.00483, 0.00254, 256.0, 0.0917, 2048};
+    const engine_profile figures{slots_each, 450'000, 73, 0.925, 0.00483, 0.00254, 256.0, 0.0917, 2048};
     parts.services = {{service_name, 50, 3s, 18.0, figures}};
     fleet.take("config", std::make_shared<const fleet_config>(std::move(parts)), start);
     for (int i = 0; i < engines; ++i) {
@@ -56,7 +56,7 @@
         upstream_load& load = report.loads[stable_hash(engine_id(i))];
         load.short_calls = calls_each;
         load.memory_tokens = calls_each * 6'600;
-        load.tightest_pause = 250ms;
+        load.tightest_tbt_target = 250ms;
     }
     return report;
 }
@@ -68,12 +68,12 @@
     made.service = service_name;
     made.prompt_tokens = prompt;
     made.answer_tokens = 1'600;
-    made.pause_aim = pause;
-    made.aim_at = start + aim;
+    made.tbt_target = pause;
+    made.latency_target_at = start + aim;
     made.aim = aim;
-    made.leaves_at = start + 10s;
-    made.limit_at = start + 15s;
-    made.give_up_at = start + 10s;
+    made.client_timeout_at = start + 10s;
+    made.deadline_at = start + 15s;
+    made.queue_timeout_at = start + 10s;
     return made;
 }
 
@@ -95,7 +95,7 @@
         call_dispatcher made({"domain-1", {0.2, 276.0, 10s}, 1});
         made.set_gateways(gateways);
         for (int i = 0; i < gateways; ++i) {
-            made.board().take_report(report_of(i, 1, engines, calls_each, true), start);
+            made.loads().apply_report(report_of(i, 1, engines, calls_each, true), start);
         }
         return made;
     };
@@ -104,7 +104,7 @@
         return microseconds(300, [&](int i) {
             usual.add(call(static_cast<std::uint64_t>(i), prompt, aim, pause));
             const dispatch_round round = usual.decide(fleet, start);
-            for (const dispatch_order& order : round.orders) {
+            for (const dispatch_assignment& order : round.orders) {
                 usual.finish(order.placed, start);
             }
         });
@@ -127,11 +127,11 @@
         message.digest.address = "10.2.0.1:7340";
         const auto taken = edge::decode_datagram(edge::encode_datagram({"", false, {message}}));
         (void)peers.take(taken->messages.front().digest, start);
-        usual.board().take_report(taken->messages.front().report, start);
+        usual.loads().apply_report(taken->messages.front().report, start);
     });
     const double tick_us = microseconds(300, [&](int) {
         usual.report_suspects(fleet, start);
-        (void)peers.forget_silent(start);
+        (void)peers.expire_peers(start);
         (void)peers.targets(start);
     });
     std::printf("| %d | %d | %.0f | %.0f | %.0f | %.1f | %.1f |\n", gateways, engines, short_us, long_us,
--- a/tests/direct/attempt_rules_test.cpp
+++ b/tests/direct/attempt_rules_test.cpp
@@ -39,7 +39,7 @@
 {
     for_each_case([](attempt_end end, const request_progress& state) {
         if (!state.repeatable && state.may_have_run) {
-            const bool again = after_attempt(end, state) == next_step::try_again;
+            const bool again = decide_next_step(end, state) == next_step::try_again;
             cr_assert(!again || end == attempt_end::not_sent,
                       "only an attempt that left no byte leads to another");
         }
@@ -51,7 +51,7 @@
 Test(attempt_rules, not_run_is_said_only_when_it_is_certain)
 {
     for_each_case([](attempt_end end, const request_progress& state) {
-        if (after_attempt(end, state) == next_step::refuse_not_run) {
+        if (decide_next_step(end, state) == next_step::refuse_not_run) {
             cr_assert(!state.may_have_run);
             cr_assert(!may_have_run(end));
         }
@@ -63,7 +63,7 @@
 {
     for_each_case([](attempt_end end, const request_progress& state) {
         if (state.answer_begun) {
-            const next_step step = after_attempt(end, state);
+            const next_step step = decide_next_step(end, state);
             cr_assert(step == next_step::try_again || step == next_step::cut);
         }
     });
@@ -74,13 +74,13 @@
     for_each_case([](attempt_end end, const request_progress& state) {
         const bool spent = state.attempts_run >= state.max_attempts;
         if (spent && may_have_run(end)) {
-            cr_assert(after_attempt(end, state) != next_step::try_again);
+            cr_assert(decide_next_step(end, state) != next_step::try_again);
         }
-        if (state.time_left < least_time_for_attempt) {
-            cr_assert(after_attempt(end, state) != next_step::try_again);
+        if (state.time_left < min_attempt_time) {
+            cr_assert(decide_next_step(end, state) != next_step::try_again);
         }
         if (!state.budget_left && end != attempt_end::not_sent) {
-            cr_assert(after_attempt(end, state) != next_step::try_again);
+            cr_assert(decide_next_step(end, state) != next_step::try_again);
         }
     });
 }
@@ -91,7 +91,7 @@
     state.budget_left = true;
     state.time_left = 1s;
     state.rejections = 1;
-    cr_assert(after_attempt(attempt_end::rejected, state) == next_step::try_again);
+    cr_assert(decide_next_step(attempt_end::rejected, state) == next_step::try_again);
     state.rejections = max_rejections + 1;
-    cr_assert(after_attempt(attempt_end::rejected, state) == next_step::refuse_not_run);
+    cr_assert(decide_next_step(attempt_end::rejected, state) == next_step::refuse_not_run);
 }
--- a/tests/direct/call_dispatcher_test.cpp
+++ b/tests/direct/call_dispatcher_test.cpp
@@ -43,10 +43,10 @@
     waiting_call made;
     made.id = id;
     made.service = "bookings";
-    made.aim_at = start + 100ms;
+    made.latency_target_at = start + 100ms;
     made.aim = 100ms;
-    made.leaves_at = start + 1500ms;
-    made.give_up_at = start + 200ms;
+    made.client_timeout_at = start + 1500ms;
+    made.queue_timeout_at = start + 200ms;
     return made;
 }
 
@@ -95,7 +95,7 @@
 {
     auto fleet = bookings(4, 2);
     auto decider = dispatcher();
-    fleet.take("out", domain_out{"b"}, start);
+    fleet.take("out", drained_domain{"b"}, start);
     for (std::uint64_t id = 1; id <= 4; ++id) {
         decider.add(call(id));
     }
@@ -137,7 +137,7 @@
     auto fleet = bookings(1, 1);
     auto decider = dispatcher();
     waiting_call late = call(1);
-    late.aim_at = start + 20ms;
+    late.latency_target_at = start + 20ms;
     decider.add(late);
     decider.add(call(2));
     const auto round = decider.decide(fleet, start);
@@ -169,14 +169,14 @@
 {
     auto fleet = bookings(100, 1);
     upstream_entry cold = fleet.upstreams().at("u0").entry;
-    cold.cold_left = 3s;
+    cold.cold_remaining = 3s;
     fleet.take("ku0", cold, start);
     auto decider = dispatcher();
     decider.set_gateways(2);
     int sent = 0;
     for (int ms = 0; ms < 1000; ++ms) {
         waiting_call next = call(static_cast<std::uint64_t>(ms) + 1);
-        next.give_up_at = start + 2s;
+        next.queue_timeout_at = start + 2s;
         decider.add(next);
         sent += static_cast<int>(decider.decide(fleet, start + ms * 1ms).orders.size());
     }
@@ -202,11 +202,11 @@
     auto decider = dispatcher();
     load_report report{"g1", 1, true, {}};
     report.loads[stable_hash("u0")].suspected_by = 1;
-    decider.board().take_report(report, start);
+    decider.loads().apply_report(report, start);
     decider.add(call(1));
     cr_assert(decider.decide(fleet, start).orders.front().upstream.id == "u0");
     report.gateway = "g2";
-    decider.board().take_report(report, start);
+    decider.loads().apply_report(report, start);
     decider.add(call(2));
     cr_assert(decider.decide(fleet, start).orders.front().upstream.id == "u1");
 }
@@ -225,7 +225,7 @@
     route_rule route;
     route.services = {{"answers", 1}};
     route.kind = call_kind::streaming;
-    route.pause_aim = 200ms;
+    route.tbt_target = 200ms;
     parts.routes = {route};
     fleet.take("config", std::make_shared<const fleet_config>(std::move(parts)), start);
     for (int i = 0; i < engine_count; ++i) {
@@ -245,11 +245,11 @@
     made.service = "answers";
     made.prompt_tokens = 210'000;
     made.answer_tokens = 800;
-    made.pause_aim = 800ms;
+    made.tbt_target = 800ms;
     made.aim = 3s;
-    made.aim_at = start + made.aim;
-    made.leaves_at = start + 12s;
-    made.give_up_at = start + 4s;
+    made.latency_target_at = start + made.aim;
+    made.client_timeout_at = start + 12s;
+    made.queue_timeout_at = start + 4s;
     return made;
 }
 
@@ -259,7 +259,7 @@
     load_report report{"reader", sequence, true, {}};
     for (int i = 0; i < engine_count && reading > 0s; ++i) {
         upstream_load& load = report.loads[stable_hash("e" + std::to_string(i))];
-        load.reading = reading;
+        load.pending_prefill = reading;
         load.parts = 1;
     }
     return report;
@@ -272,9 +272,9 @@
     call_dispatcher decider({"a", {0.2, 10.0, 10s}, seed});
     decider.set_gateways(30);
     decider.add(document(1));
-    decider.board().take_report(reading_report(1, 2s), start);
+    decider.loads().apply_report(reading_report(1, 2s), start);
     cr_assert(decider.decide(fleet, start).orders.empty());
-    decider.board().take_report(reading_report(2, 0s), start + 100ms);
+    decider.loads().apply_report(reading_report(2, 0s), start + 100ms);
     for (instant now = start + 100ms; now < start + 300ms; now += 1ms) {
         if (!decider.decide(fleet, now).orders.empty()) {
             return now;
@@ -318,9 +318,9 @@
         waiting_call made = document(id);
         const bool middle = id % 7 == 0;
         made.prompt_tokens = middle ? 40'000 : 5'000;
-        made.pause_aim = middle ? 500ms : 200ms;
+        made.tbt_target = middle ? 500ms : 200ms;
         made.aim = 300ms + id * 1us;
-        made.aim_at = start + made.aim;
+        made.latency_target_at = start + made.aim;
         return made;
     };
     auto together = dispatcher();
@@ -351,10 +351,10 @@
     decider.first_token(first[0].placed, start + 60ms);
     decider.finish(first[0].placed, start + 60ms);
     waiting_call older = call(2);
-    older.aim_at = start + 110ms;
-    older.give_up_at = start + 300ms;
+    older.latency_target_at = start + 110ms;
+    older.queue_timeout_at = start + 300ms;
     waiting_call newer = call(3);
-    newer.aim_at = start + 150ms;
+    newer.latency_target_at = start + 150ms;
     decider.add(older);
     decider.add(newer);
     const auto next = decider.decide(fleet, start + 60ms).orders;
@@ -372,8 +372,8 @@
     for (std::uint64_t id = 2; id <= 22; ++id) {
         const instant now = start + 100ms * static_cast<int>(id);
         waiting_call refused = call(id);
-        refused.give_up_at = now;
-        refused.limit_at = now + 10s;
+        refused.queue_timeout_at = now;
+        refused.deadline_at = now + 10s;
         decider.add(refused);
         const auto round = decider.decide(fleet, now);
         cr_assert(round.refusals.size() == 1);
@@ -397,10 +397,10 @@
     return made;
 }
 
-auto domains_of(const upstream_list& fleet, const dispatch_order& order) -> std::set<std::string>
+auto domains_of(const upstream_list& fleet, const dispatch_assignment& order) -> std::set<std::string>
 {
     std::set<std::string> found{fleet.upstreams().at(order.upstream.id).entry.failure_domain};
-    for (const dispatch_helper& helper : order.helpers) {
+    for (const prefill_engine& helper : order.prefill_engines) {
         found.insert(helper.upstream.failure_domain);
     }
     return found;
@@ -440,10 +440,10 @@
 {
     const auto fleet = engines(3);
     call_dispatcher decider({"d1", {0.0, 1.5, 10s}, 1});
-    cr_assert(decider.retry_left("answers", start));
+    cr_assert(decider.retry_allowed("answers", start));
     decider.add(document_after_losses_in(0));
     cr_assert(decider.decide(fleet, start).orders.size() == 1);
-    cr_assert(!decider.retry_left("answers", start));
+    cr_assert(!decider.retry_allowed("answers", start));
 }
 
 // An upstream that refuses connections has had no arrival: going round it costs no second attempt.
@@ -456,5 +456,5 @@
     unsent.attempts.ended(attempt_end::not_sent, {"e0", "d0"}, start);
     decider.add(unsent);
     cr_assert(decider.decide(fleet, start).orders.size() == 1);
-    cr_assert(decider.retry_left("answers", start));
+    cr_assert(decider.retry_allowed("answers", start));
 }
--- a/tests/direct/dispatch_policy_test.cpp
+++ b/tests/direct/dispatch_policy_test.cpp
@@ -83,7 +83,7 @@
     cr_assert(first_short && first_long);
     cr_assert(first_short->upstream != first_long->upstream);
     cr_assert(!first_short->is_long && first_long->is_long);
-    for (const auto& helper : first_long->helpers) {
+    for (const auto& helper : first_long->prefill_engines) {
         cr_assert(helper.upstream != first_long->upstream);
     }
 }
@@ -91,10 +91,10 @@
 Test(engine_dispatch, a_long_prompt_is_read_in_parts_that_begin_within_its_aim)
 {
     const auto choice = policy().choose(long_call(), idle_engines(16)).choice;
-    cr_assert(choice->helpers.size() >= 8, "%zu helpers", choice->helpers.size());
+    cr_assert(choice->prefill_engines.size() >= 8, "%zu helpers", choice->prefill_engines.size());
     cr_assert(choice->first_token < 500ms);
     std::set<std::string> readers{choice->upstream};
-    for (const auto& helper : choice->helpers) {
+    for (const auto& helper : choice->prefill_engines) {
         cr_assert(readers.insert(helper.upstream).second, "each engine reads one part");
         cr_assert(helper.reserved_tokens == 0);
     }
@@ -130,7 +130,7 @@
     }
     const auto choice = policy().choose(long_call(), all).choice;
     cr_assert(choice.has_value());
-    for (const auto& helper : choice->helpers) {
+    for (const auto& helper : choice->prefill_engines) {
         cr_assert(!unread.contains(helper.upstream));
     }
 }
@@ -141,21 +141,21 @@
     auto all = idle_engines(16);
     for (auto& engine : all) {
         engine.load.short_calls = 4;
-        engine.load.tightest_pause = tight_pause;
+        engine.load.tightest_tbt_target = tight_pause;
     }
     const auto choice = policy().choose(long_call(90'000), all).choice;
     cr_assert(choice.has_value());
-    for (std::size_t i = 0; i < choice->helpers.size(); ++i) {
+    for (std::size_t i = 0; i < choice->prefill_engines.size(); ++i) {
         cr_assert(choice->reading < tight_pause / 2);
     }
-    cr_assert(!choice->helpers.empty());
+    cr_assert(!choice->prefill_engines.empty());
 }
 
 Test(engine_dispatch, long_calls_wait_while_what_they_need_is_busy)
 {
     auto all = idle_engines(16);
     for (auto& engine : all) {
-        engine.load.reading = 2s;
+        engine.load.pending_prefill = 2s;
         engine.load.parts = 1;
     }
     cr_assert(!policy().choose(long_call(), all).choice);
@@ -171,7 +171,7 @@
     for (std::size_t i = 0; i + 1 < engines.size(); ++i) {
         engines[i].load.long_calls = 1;
         engines[i].load.unread_calls = 1;
-        engines[i].load.reading = 300ms;
+        engines[i].load.pending_prefill = 300ms;
     }
     call_shape call = long_call(350'000);
     cr_assert(!policy().choose(call, engines).choice);
@@ -184,7 +184,7 @@
     const auto choice = policy().choose(long_call(1'000'000), idle_engines(16)).choice;
     cr_assert(choice.has_value());
     std::int64_t held = choice->memory_tokens;
-    for (const auto& helper : choice->helpers) {
+    for (const auto& helper : choice->prefill_engines) {
         held += helper.reserved_tokens;
         cr_assert(helper.reserved_tokens <= sample_memory);
     }
@@ -218,7 +218,7 @@
     const auto choice = policy().choose(call, all).choice;
     cr_assert(choice.has_value() && !choice->is_long);
     cr_assert(choice->upstream == policy().choose(short_call(), all).choice->upstream);
-    cr_assert(!choice->helpers.empty());
+    cr_assert(!choice->prefill_engines.empty());
 }
 
 // A document that can't begin in time holds few engines: the others must be there for what still can.
@@ -228,7 +228,7 @@
     late.time_to_aim = 100ms;
     const auto choice = policy().choose(late, idle_engines(16)).choice;
     cr_assert(choice.has_value());
-    cr_assert(choice->helpers.size() <= 2, "%zu", choice->helpers.size());
+    cr_assert(choice->prefill_engines.size() <= 2, "%zu", choice->prefill_engines.size());
     cr_assert(choice->first_token <= 12s);
 }
 
@@ -262,7 +262,7 @@
     auto all = idle_engines(16);
     cr_assert(policy().choose(long_call(), all).obstacle == wait_reason::none);
     for (dispatch_candidate& engine : all) {
-        engine.load.reading = 2s;
+        engine.load.pending_prefill = 2s;
     }
     cr_assert(policy().choose(long_call(), all).obstacle == wait_reason::backlog);
     for (dispatch_candidate& engine : all) {
--- a/tests/direct/engine_samples.h
+++ b/tests/direct/engine_samples.h
@@ -15,7 +15,7 @@
 
 /// A model engine of eight accelerators: 256 tokens are read in a millisecond, an event is a pass of 46
 /// steps.
-inline auto sample_figures() -> engine_figures
+inline auto sample_figures() -> engine_profile
 {
     return {16, sample_memory, 46, 0.925, 0.00483, 0.00254, 256.0, 0.0917, 2048};
 }
--- a/tests/direct/event_relay_test.cpp
+++ b/tests/direct/event_relay_test.cpp
@@ -33,7 +33,7 @@
         cr_assert(out.size() <= cut);
         out += relay.take(stream.substr(cut)).bytes;
         cr_assert(out == stream, "cut at %zu", cut);
-        cr_assert(!relay.inside_event());
+        cr_assert(!relay.has_partial_event());
         cr_assert(relay.last_id() == "4");
     }
 }
@@ -59,7 +59,7 @@
     event_relay relay;
     const auto relayed = relay.take(event(1) + "id: 2\ndata: half");
     cr_assert(relayed.bytes == event(1));
-    cr_assert(relay.inside_event());
+    cr_assert(relay.has_partial_event());
 }
 
 Test(event_relay, a_caller_that_comes_back_gets_what_follows)
--- a/tests/direct/fleet_config_test.cpp
+++ b/tests/direct/fleet_config_test.cpp
@@ -13,7 +13,7 @@
     rule.name = name;
     rule.host = host;
     rule.path_prefix = prefix;
-    rule.pause_aim = pause;
+    rule.tbt_target = pause;
     rule.services = {{"engines", 1}};
     return rule;
 }
@@ -26,7 +26,7 @@
                     route("mid", "a.example", "/x/")};
     parts.services = {{"engines", 10, 3s, 38.0, std::nullopt}};
     parts.accounts = {{"acme", {"k1", "k2"}, 1}};
-    parts.keys_needed = true;
+    parts.requires_api_key = true;
     return fleet_config(std::move(parts));
 }
 
@@ -35,25 +35,25 @@
 Test(fleet_config, the_longest_prefix_of_the_host_wins)
 {
     const fleet_config whole = config();
-    cr_assert(whole.route_of("a.example", "/x/y/z")->name == "deep");
-    cr_assert(whole.route_of("a.example", "/x/z")->name == "mid");
-    cr_assert(whole.route_of("a.example", "/x")->name == "whole");
-    cr_assert(whole.route_of("b.example", "/x/y/z") == nullptr);
+    cr_assert(whole.match_route("a.example", "/x/y/z")->name == "deep");
+    cr_assert(whole.match_route("a.example", "/x/z")->name == "mid");
+    cr_assert(whole.match_route("a.example", "/x")->name == "whole");
+    cr_assert(whole.match_route("b.example", "/x/y/z") == nullptr);
 }
 
 Test(fleet_config, a_key_belongs_to_its_account)
 {
     const fleet_config whole = config();
-    cr_assert(whole.account_of("k2")->name == "acme");
-    cr_assert(whole.account_of("k3") == nullptr);
-    cr_assert(whole.service_of("engines")->max_connections == 10);
-    cr_assert(whole.service_of("other") == nullptr);
+    cr_assert(whole.find_account("k2")->name == "acme");
+    cr_assert(whole.find_account("k3") == nullptr);
+    cr_assert(whole.find_service("engines")->max_connections == 10);
+    cr_assert(whole.find_service("other") == nullptr);
 }
 
 Test(fleet_config, the_tightest_pause_of_a_service_is_that_of_its_strictest_route)
 {
-    cr_assert(config().tightest_pause("engines") == duration(200ms));
-    cr_assert(!config().tightest_pause("other"));
+    cr_assert(config().tightest_tbt_target("engines") == duration(200ms));
+    cr_assert(!config().tightest_tbt_target("other"));
 }
 
 Test(fleet_config, a_stream_may_be_repeated_only_if_it_may_be_resumed)
--- a/tests/direct/fleet_records_test.cpp
+++ b/tests/direct/fleet_records_test.cpp
@@ -67,8 +67,8 @@
 Test(fleet_records, an_older_copy_does_not_bring_back_what_a_listing_lacks)
 {
     fleet_records records;
-    (void)records.apply(records_extract{{written("a", 1)}, 9, true});
-    const auto news = records.apply(records_extract{{written("a", 1), written("gone", 5)}, 6, true});
+    (void)records.apply(records_update{{written("a", 1)}, 9, true});
+    const auto news = records.apply(records_update{{written("a", 1), written("gone", 5)}, 6, true});
     cr_assert(news.empty());
     cr_assert(!records.all().contains("gone"));
     cr_assert(records.apply(written("new", 10)), "what is newer than the listing is news");
@@ -78,8 +78,8 @@
 Test(fleet_records, what_a_whole_listing_lacks_is_gone)
 {
     fleet_records records;
-    (void)records.apply(records_extract{{written("a", 1), written("b", 2)}, 2, true});
-    const auto news = records.apply(records_extract{{written("a", 1)}, 9, true});
+    (void)records.apply(records_update{{written("a", 1), written("b", 2)}, 2, true});
+    const auto news = records.apply(records_update{{written("a", 1)}, 9, true});
     cr_assert(news.size() == 1 && news.front().key == "b" && news.front().removed);
     cr_assert(records.revision() == 9);
 }
@@ -89,7 +89,7 @@
 {
     fleet_records records;
     (void)records.apply(written("late", 12));
-    const auto news = records.apply(records_extract{{written("a", 1)}, 9, true});
+    const auto news = records.apply(records_update{{written("a", 1)}, 9, true});
     cr_assert(news.size() == 1 && news.front().key == "a");
     cr_assert(!records.all().at("late").removed);
 }
@@ -97,10 +97,10 @@
 Test(fleet_records, a_peer_gets_what_it_lacks_removals_included)
 {
     fleet_records records;
-    (void)records.apply(records_extract{{written("a", 1), written("b", 2)}, 2, true});
-    (void)records.apply(records_extract{{removed("a", 3), written("c", 4)}, 4, false});
+    (void)records.apply(records_update{{written("a", 1), written("b", 2)}, 2, true});
+    (void)records.apply(records_update{{removed("a", 3), written("c", 4)}, 4, false});
     fleet_records other;
-    (void)other.apply(records_extract{{written("a", 1), written("b", 2)}, 2, true});
+    (void)other.apply(records_update{{written("a", 1), written("b", 2)}, 2, true});
     (void)other.apply(records.since(other.revision()));
     cr_assert(other.all() == records.all());
     cr_assert(other.revision() == 4);
@@ -112,9 +112,9 @@
 Test(fleet_records, a_process_that_has_listed_knows_no_removal_from_before)
 {
     fleet_records behind;
-    (void)behind.apply(records_extract{{written("left", 5), written("stays", 6)}, 16, true});
+    (void)behind.apply(records_update{{written("left", 5), written("stays", 6)}, 16, true});
     fleet_records fresh;
-    (void)fresh.apply(records_extract{{written("stays", 6), written("new", 19)}, 21, true});
+    (void)fresh.apply(records_update{{written("stays", 6), written("new", 19)}, 21, true});
     const auto news = behind.apply(fresh.since(behind.revision()));
     cr_assert(behind.all().at("left").removed);
     cr_assert(news.size() == 2);
@@ -126,7 +126,7 @@
 Test(fleet_records, a_peer_that_is_too_far_behind_gets_the_whole_list)
 {
     fleet_records records;
-    (void)records.apply(records_extract{{written("stays", 1)}, 1, true});
+    (void)records.apply(records_update{{written("stays", 1)}, 1, true});
     std::uint64_t revision = 1;
     for (std::size_t i = 0; i <= fleet_records::max_removed; ++i) {
         (void)records.apply(removed("gone" + std::to_string(i), ++revision));
--- a/tests/direct/gossip_relay_test.cpp
+++ b/tests/direct/gossip_relay_test.cpp
@@ -46,7 +46,7 @@
                 if (!one->alive) {
                     continue;
                 }
-                (void)one->peers.forget_silent(now);
+                (void)one->peers.expire_peers(now);
                 const bool moved = one->relay.update(one->peers, now);
                 if (one->number % 10 == turn || moved || one->relay.keepalive_due(now)) {
                     send_digest(*one);
@@ -127,7 +127,7 @@
     {
         peer_message message{digest_of(from), {}};
         if (from.relay.is_relay()) {
-            from.relay.add_own(message);
+            from.relay.enqueue_own(message);
         }
         if (from.relay.sends_to_all()) {
             for (const std::string& address : from.peers.targets(now_)) {
@@ -149,12 +149,13 @@
         relay.relay.flushed(now_);
         for (const std::string& address : relay.relay.subscribers()) {
             for (const peer_datagram& datagram :
-                 datagrams_of(batch.for_subscribers, relay.self.address, false)) {
+                 split_into_datagrams(batch.for_subscribers, relay.self.address, false)) {
                 deliver(relay, address, datagram);
             }
         }
         for (const std::string& address : relay.relay.other_relays(relay.peers, now_)) {
-            for (const peer_datagram& datagram : datagrams_of(batch.for_relays, relay.self.address, true)) {
+            for (const peer_datagram& datagram :
+                 split_into_datagrams(batch.for_relays, relay.self.address, true)) {
                 deliver(relay, address, datagram);
             }
         }
--- a/tests/direct/peers_test.cpp
+++ b/tests/direct/peers_test.cpp
@@ -41,8 +41,8 @@
 {
     peer_table table("self", "self:7340", {});
     (void)table.take(digest_of("p"), start);
-    cr_assert(table.forget_silent(start + peer_table::silence_limit).empty());
-    cr_assert(table.forget_silent(start + peer_table::silence_limit + 1ms) == std::vector<std::string>{"p"});
+    cr_assert(table.expire_peers(start + peer_table::silence_limit).empty());
+    cr_assert(table.expire_peers(start + peer_table::silence_limit + 1ms) == std::vector<std::string>{"p"});
     cr_assert(table.gateways() == 1);
 }
 
@@ -53,8 +53,8 @@
     newer.revision = 9;
     (void)table.take(newer, start);
     (void)table.take(digest_of("p", 4), start);
-    cr_assert(table.newer_than(8)->revision == 9);
-    cr_assert(!table.newer_than(9));
+    cr_assert(table.select_newer_peer(8)->revision == 9);
+    cr_assert(!table.select_newer_peer(9));
 }
 
 // A gateway is killed and starts again at its address within a second: counted twice, it would halve what
@@ -82,8 +82,8 @@
         for (int peer = 0; peer < fleet; ++peer) {
             (void)table.take(digest_of("g" + std::to_string(peer)), start);
         }
-        readers += table.has_to_read_source(start) ? 1 : 0;
-        cr_assert(table.has_to_read_source(start + peer_table::reader_silence + 1ms), "nobody is heard");
+        readers += table.must_read_source(start) ? 1 : 0;
+        cr_assert(table.must_read_source(start + peer_table::reader_silence + 1ms), "nobody is heard");
     }
     cr_assert(readers == peer_table::source_readers, "%d", readers);
 }
@@ -96,7 +96,7 @@
         blind.reads_source = false;
         (void)table.take(blind, start);
     }
-    cr_assert(table.has_to_read_source(start));
+    cr_assert(table.must_read_source(start));
 }
 
 Test(upstream_health, an_upstream_that_was_lost_is_left_alone_for_longer_each_time)
@@ -120,7 +120,7 @@
     const instant later = start + upstream_health::first_pause;
     cr_assert(!health.suspect("u", 0, later));
     cr_assert(health.suspect("u", 1, later));
-    health.succeeded("u");
+    health.record_success("u");
     cr_assert(!health.suspect("u", 1, later));
 }
 
@@ -129,7 +129,7 @@
 {
     upstream_health health;
     for (int call = 0; call < 700; ++call) {
-        call % 7 == 0 ? health.failed("u", start) : health.succeeded("u");
+        call % 7 == 0 ? health.failed("u", start) : health.record_success("u");
         cr_assert(!health.suspect("u", 0, start), "call %d", call);
     }
     for (int call = 0; call < 4; ++call) {
@@ -169,10 +169,10 @@
                               false},
                              instant(1s));
         }
-        asked.insert(table.newer_than(3)->gateway);
+        asked.insert(table.select_newer_peer(3)->gateway);
         std::set<std::string> again;
         for (std::uint64_t attempt = 0; attempt < 10; ++attempt) {
-            again.insert(table.newer_than(3, attempt)->gateway);
+            again.insert(table.select_newer_peer(3, attempt)->gateway);
         }
         cr_assert(again.size() >= 4, "%zu", again.size());
     }
@@ -193,7 +193,7 @@
             digest.millicores = i < 2 ? 900 : 90;
             (void)table.take(digest, start);
         }
-        const std::string peer = table.newer_than(9)->gateway;
+        const std::string peer = table.select_newer_peer(9)->gateway;
         asked.insert(peer);
         large += peer == "peer-0" || peer == "peer-1" ? 1 : 0;
     }
@@ -213,7 +213,7 @@
             digest.reads_source = true;
             (void)table.take(digest, start);
         }
-        return table.has_to_read_source(start);
+        return table.must_read_source(start);
     };
     for (int i = 0; i < 20; ++i) {
         cr_assert(!reads("small-" + std::to_string(i), 90));
--- a/tests/direct/reading_plan_test.cpp
+++ b/tests/direct/prefill_plan_test.cpp
@@ -1,4 +1,4 @@
-#include "dragonflymill/direct/reading_plan.h"
+#include "dragonflymill/direct/prefill_plan.h"
 #include "engine_samples.h"
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 {
     engine.load.short_calls = count;
     engine.load.memory_tokens = 6'600 * count;
-    engine.load.tightest_pause = tight_pause;
+    engine.load.tightest_tbt_target = tight_pause;
 }
 
 auto long_call(std::int64_t tokens, duration time_to_aim) -> call_shape
@@ -33,7 +33,7 @@
 // A burst of short questions fills all engines but two while a document comes that is late already. Read
 // alone at the first engine with room, for three seconds, it made the ten answers written there late: each
 // of their events waited for the reading. It is read where nobody waits for an event.
-Test(reading_plan, a_late_prompt_is_not_read_beside_streams)
+Test(prefill_plan, a_late_prompt_is_not_read_beside_streams)
 {
     auto all = idle_engines(14);
     for (std::size_t i = 0; i < all.size(); ++i) {
@@ -50,7 +50,7 @@
 // All engines write a few short streams when a review of 100,000 tokens comes. No part was short enough for a
 // strict bound on what may be read beside streams, so that it was read alone, 0.9 s, at the cost of every
 // stream there. Parts of 0.1 s at nine engines cost none of them its pause.
-Test(reading_plan, parts_beside_streams_are_better_than_one_long_reading)
+Test(prefill_plan, parts_beside_streams_are_better_than_one_long_reading)
 {
     auto all = idle_engines(14);
     for (auto& engine : all) {
@@ -64,7 +64,7 @@
 
 // A reading that would make many streams late waits while its caller has time, and is done at last rather
 // than that the caller goes without: a document is worth as many questions as it has pages.
-Test(reading_plan, a_call_accepts_more_harm_the_longer_it_waits)
+Test(prefill_plan, a_call_accepts_more_harm_the_longer_it_waits)
 {
     auto all = idle_engines(4);
     for (auto& engine : all) {
@@ -73,7 +73,7 @@
     const engine_forecast forecast(sample_figures());
     const auto acceptable = [&](duration time_to_aim) {
         const call_shape call = long_call(210'000, time_to_aim);
-        const reading_planner planner(forecast, 120ms, call, all);
+        const prefill_planner planner(forecast, 120ms, call, all);
         const auto plan = planner.best(all);
         return plan && planner.acceptable(*plan);
     };
@@ -81,36 +81,36 @@
     cr_assert(acceptable(1600ms));
 }
 
-Test(reading_plan, streams_with_longer_pauses_bear_longer_parts)
+Test(prefill_plan, streams_with_longer_pauses_bear_longer_parts)
 {
     auto all = idle_engines(2);
     const call_shape call = long_call(45'000, 3s);
     const engine_forecast forecast(sample_figures());
-    const reading_planner planner(forecast, 120ms, call, all);
+    const prefill_planner planner(forecast, 120ms, call, all);
     all[0].load.long_calls = 2;
-    all[0].load.tightest_pause = 800ms;
+    all[0].load.tightest_tbt_target = 800ms;
     cr_assert(planner.best_for(all[0]).cost == 0.0);
-    all[0].load.tightest_pause = tight_pause;
+    all[0].load.tightest_tbt_target = tight_pause;
     cr_assert(planner.best_for(all[0]).cost > 1.0);
 }
 
 // Long answers stay at few engines, so that the others can read: a writer is given up only for one that is
 // clearly better.
-Test(reading_plan, long_answers_are_written_by_few_engines)
+Test(prefill_plan, long_answers_are_written_by_few_engines)
 {
     auto all = idle_engines(14);
     const engine_dispatch policy(sample_figures(), tight_pause);
     const auto first = policy.choose(long_call(45'000, 3s), all).choice;
     auto& writer = *std::find_if(all.begin(), all.end(), [&](auto& e) { return e.id == first->upstream; });
     writer.load.long_calls = 1;
-    writer.load.tightest_pause = 800ms;
+    writer.load.tightest_tbt_target = 800ms;
     cr_assert(policy.choose(long_call(45'000, 3s), all).choice->upstream == first->upstream);
 }
 
 // A burst of short questions leaves one engine behind the partition boundary. A document of a million tokens
 // needs the memory of three: while only that one was asked, it waited until the burst was over, with memory
 // free everywhere.
-Test(reading_plan, the_largest_prompts_use_memory_beside_short_streams)
+Test(prefill_plan, the_largest_prompts_use_memory_beside_short_streams)
 {
     auto all = idle_engines(14);
     for (std::size_t i = 0; i + 1 < all.size(); ++i) {
@@ -118,7 +118,7 @@
     }
     const engine_forecast forecast(sample_figures());
     const call_shape call = long_call(1'000'000, 3s);
-    const auto plan = reading_planner(forecast, 120ms, call, all).best(std::span(all).last(1));
+    const auto plan = prefill_planner(forecast, 120ms, call, all).best(std::span(all).last(1));
     cr_assert(plan.has_value());
     std::int64_t held = plan->writer_tokens;
     for (const auto& helper : plan->helpers) {
@@ -135,7 +135,7 @@
     auto all = idle_engines(count);
     for (std::size_t i = 0; i < busy; ++i) {
         all[i].load.parts = 1;
-        all[i].load.reading = reading;
+        all[i].load.pending_prefill = reading;
     }
     return all;
 }
@@ -144,8 +144,8 @@
                                  const std::vector<dispatch_candidate>& all, std::size_t helpers)
 {
     cr_assert(decision.choice.has_value());
-    cr_assert(decision.choice->helpers.size() >= helpers);
-    for (const helper_share& helper : decision.choice->helpers) {
+    cr_assert(decision.choice->prefill_engines.size() >= helpers);
+    for (const helper_share& helper : decision.choice->prefill_engines) {
         cr_assert(engine_named(all, helper.upstream).load.parts == 0, "%s is busy", helper.upstream.c_str());
     }
 }
@@ -154,7 +154,7 @@
 
 // Documents come in a burst, each wanting sixteen readers of twenty-four engines. While one was read by
 // fourteen, the next waited for engines to end although ten stood idle, until it was late.
-Test(reading_plan, a_document_is_read_by_idle_engines_if_it_ends_sooner_so)
+Test(prefill_plan, a_document_is_read_by_idle_engines_if_it_ends_sooner_so)
 {
     const auto all = engines_with_busy(24, 14, 500ms);
     const engine_dispatch policy(sample_figures(), tight_pause);
@@ -163,7 +163,7 @@
 
 // In a burst others take the engines that a document waits for. It took none of those that stood idle, as it
 // would have ended sooner with all its readers, and waited until it was late.
-Test(reading_plan, a_document_that_waited_in_vain_is_read_by_fewer_engines)
+Test(prefill_plan, a_document_that_waited_in_vain_is_read_by_fewer_engines)
 {
     const auto all = engines_with_busy(24, 18, 150ms);
     const engine_dispatch policy(sample_figures(), tight_pause);
--- a/tests/direct/saturation_clock_test.cpp
+++ b/tests/direct/saturation_tracker_test.cpp
@@ -1,4 +1,4 @@
-#include "dragonflymill/direct/saturation_clock.h"
+#include "dragonflymill/direct/saturation_tracker.h"
 
 #include <criterion/criterion.h>
 
@@ -12,22 +12,22 @@
 
 } // namespace
 
-Test(saturation_clock, lasts_while_calls_find_no_room)
+Test(saturation_tracker, lasts_while_calls_find_no_room)
 {
-    saturation_clock clock;
+    saturation_tracker clock;
     cr_assert(clock.lasting(now) == 0s);
-    for (duration passed = 0ms; passed <= 2s; passed += saturation_clock::longest_gap) {
+    for (duration passed = 0ms; passed <= 2s; passed += saturation_tracker::longest_gap) {
         clock.no_room(now + passed);
     }
     cr_assert(clock.lasting(now + 2s) == 2s);
 }
 
-Test(saturation_clock, ends_when_calls_have_found_room_for_a_while)
+Test(saturation_tracker, ends_when_calls_have_found_room_for_a_while)
 {
-    saturation_clock clock;
+    saturation_tracker clock;
     clock.no_room(now);
     clock.no_room(now + 300ms);
-    const instant later = now + 300ms + saturation_clock::longest_gap + 1ms;
+    const instant later = now + 300ms + saturation_tracker::longest_gap + 1ms;
     cr_assert(clock.lasting(later) == 0s);
     clock.no_room(later);
     cr_assert(clock.lasting(later) == 0s, "a new one begins");
--- a/tests/direct/shared_bounds_test.cpp
+++ b/tests/direct/shared_bounds_test.cpp
@@ -1,5 +1,5 @@
 #include "dragonflymill/core/random_source.h"
-#include "dragonflymill/direct/cold_share.h"
+#include "dragonflymill/direct/cold_start_limiter.h"
 #include "dragonflymill/direct/retry_window.h"
 
 #include <criterion/criterion.h>
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr retry_bounds bounds{0.2, 100.0, 10s};
+constexpr retry_budget_limits bounds{0.2, 100.0, 10s};
 
 /// Arrivals of all gateways in the last window.
 struct window_sum
@@ -49,7 +49,7 @@
         for (int step = 0; step < 20'000; ++step) {
             const instant now = instant(100s) + step * 3ms;
             retry_window& own = windows[random.below(gateways)];
-            own.count_first(now);
+            own.count_first_attempt(now);
             sum.add(now, false);
             if (own.take(now, bounds, gateways)) {
                 sum.add(now, true);
@@ -68,7 +68,7 @@
     retry_window window;
     const instant now(100s);
     for (int i = 0; i < 10; ++i) {
-        window.count_first(now);
+        window.count_first_attempt(now);
     }
     int taken = 0;
     while (window.take(now, bounds, 410)) {
@@ -82,7 +82,7 @@
     retry_window window;
     const instant now(100s);
     for (int i = 0; i < 100; ++i) {
-        window.count_first(now);
+        window.count_first_attempt(now);
     }
     cr_assert(window.available(now, {0.2, 0.0, 10s}, 1));
     cr_assert(!window.available(now + 60s, {0.2, 0.0, 10s}, 1));
@@ -90,11 +90,11 @@
 
 // A failure domain comes back with cold upstreams and each of twelve gateways sees an idle one. In no second
 // may it get more than it bears from all of them.
-Test(cold_share, the_sum_over_all_gateways_stays_in_the_rate)
+Test(cold_start_limiter, the_sum_over_all_gateways_stays_in_the_rate)
 {
     constexpr int gateways = 12;
     constexpr double rate = 38.0;
-    std::vector<cold_share> shares(gateways);
+    std::vector<cold_start_limiter> shares(gateways);
     std::deque<instant> sent;
     for (int step = 0; step < 40'000; ++step) {
         const instant now = instant(100s) + step * 250us;
--- a/tests/direct/source_listing_test.cpp
+++ b/tests/direct/source_listing_test.cpp
@@ -32,13 +32,13 @@
 Test(source_listing, calls_get_longer_after_failures_up_to_a_bound)
 {
     source_listing listing;
-    cr_assert(listing.call_limit() == source_listing::first_limit);
+    cr_assert(listing.call_timeout() == source_listing::first_limit);
     for (int i = 0; i < 10; ++i) {
         listing.failed();
     }
-    cr_assert(listing.call_limit() == source_listing::longest_limit);
+    cr_assert(listing.call_timeout() == source_listing::longest_limit);
     (void)listing.take(page("a", "b", 10, true));
-    cr_assert(listing.call_limit() == source_listing::first_limit);
+    cr_assert(listing.call_timeout() == source_listing::first_limit);
 }
 
 // The source has forgotten its history: what was listed before may lack removals that nobody tells any more.
--- a/tests/direct/source_outage_test.cpp
+++ b/tests/direct/source_outage_test.cpp
@@ -14,11 +14,11 @@
 Test(source_outage, after_a_long_outage_removals_are_in_doubt_for_a_while)
 {
     source_outage outage;
-    cr_assert(!outage.casts_doubt(start));
+    cr_assert(!outage.removals_unreliable(start));
     outage.lost(start);
     outage.regained(start + 5s);
-    cr_assert(outage.casts_doubt(start + 5s));
-    cr_assert(!outage.casts_doubt(start + 5s + source_outage::shadow));
+    cr_assert(outage.removals_unreliable(start + 5s));
+    cr_assert(!outage.removals_unreliable(start + 5s + source_outage::shadow));
 }
 
 // An upstream leaves just after this gateway's connection to the source was reset. Its removal was held back
@@ -28,7 +28,7 @@
     source_outage outage;
     outage.lost(start);
     outage.regained(start + 300ms);
-    cr_assert(!outage.casts_doubt(start + 400ms));
+    cr_assert(!outage.removals_unreliable(start + 400ms));
 }
 
 // The source refuses this host and serves the others. What a peer tells of removals then is true.
@@ -36,12 +36,13 @@
 {
     source_outage outage;
     outage.lost(start);
-    outage.peer_reads(start + 1s);
-    cr_assert(outage.casts_doubt(start + 3s), "a word that may be older than the loss proves nothing");
-    outage.peer_reads(start + 4s);
-    cr_assert(!outage.casts_doubt(start + 5s));
+    outage.peer_reads_source(start + 1s);
+    cr_assert(outage.removals_unreliable(start + 3s),
+              "a word that may be older than the loss proves nothing");
+    outage.peer_reads_source(start + 4s);
+    cr_assert(!outage.removals_unreliable(start + 5s));
     outage.regained(start + 6s);
-    cr_assert(!outage.casts_doubt(start + 6s));
+    cr_assert(!outage.removals_unreliable(start + 6s));
     outage.lost(start + 20s);
-    cr_assert(outage.casts_doubt(start + 23s), "each outage is judged anew");
+    cr_assert(outage.removals_unreliable(start + 23s), "each outage is judged anew");
 }
--- a/tests/direct/stall_timeout_test.cpp
+++ b/tests/direct/stall_timeout_test.cpp
@@ -11,8 +11,8 @@
 {
     route_rule route;
     route.kind = call_kind::streaming;
-    route.answer_aim = 300ms;
-    route.pause_aim = 200ms;
+    route.latency_target = 300ms;
+    route.tbt_target = 200ms;
     return route;
 }
 
@@ -32,22 +32,22 @@
 Test(stall_timeout, a_lost_engine_is_given_up_before_its_callers_leave)
 {
     cr_assert(stall_timeout_for(short_answers(), {true, 0ms}) == 1s);
-    cr_assert(stall_timeout_for(short_answers(), {true, 5s}) <= caller_patience(short_answers()) - 300ms);
+    cr_assert(stall_timeout_for(short_answers(), {true, 5s}) <= client_timeout_for(short_answers()) - 300ms);
 }
 
 Test(stall_timeout, callers_of_long_answers_bear_longer_silences)
 {
     route_rule route = short_answers();
-    route.answer_aim = 3s;
-    route.pause_aim = 800ms;
+    route.latency_target = 3s;
+    route.tbt_target = 800ms;
     cr_assert(stall_timeout_for(route, {false, 0ms}) == 9s);
     cr_assert(stall_timeout_for(route, {true, 0ms}) == 3200ms);
-    cr_assert(caller_patience(route) == 12s);
+    cr_assert(client_timeout_for(route) == 12s);
 }
 
 // Guards against leaving sound engines alone for seconds because they are busy with a long prompt.
 Test(stall_timeout, silence_of_an_engine_that_reads_is_no_fault_of_it)
 {
-    cr_assert(is_busy_reading(1200ms));
-    cr_assert(!is_busy_reading(0ms));
+    cr_assert(is_busy_prefilling(1200ms));
+    cr_assert(!is_busy_prefilling(0ms));
 }
--- a/tests/direct/upstream_list_test.cpp
+++ b/tests/direct/upstream_list_test.cpp
@@ -19,7 +19,7 @@
     return made;
 }
 
-auto config(std::uint64_t version) -> fleet_fact
+auto config(std::uint64_t version) -> decoded_record
 {
     fleet_config::parts parts;
     parts.version = version;
@@ -42,10 +42,10 @@
     upstream_list list;
     upstream_entry leaving = entry("u1");
     list.take("k1", leaving, start);
-    cr_assert(list.takes_work(list.upstreams().at("u1")));
+    cr_assert(list.accepts_work(list.upstreams().at("u1")));
     leaving.leaving = true;
     list.take("k1", leaving, start);
-    cr_assert(!list.takes_work(list.upstreams().at("u1")));
+    cr_assert(!list.accepts_work(list.upstreams().at("u1")));
 }
 
 // All upstreams vanish from the registry for a second, although they serve: their entries lapsed while the
@@ -81,11 +81,11 @@
     list.take("config", config(1), start);
     list.take("k1", entry("u1", "a"), start);
     list.take("k2", entry("u2", "b"), start);
-    list.take("out", domain_out{"a"}, start);
-    cr_assert(!list.takes_work(list.upstreams().at("u1")));
-    cr_assert(list.takes_work(list.upstreams().at("u2")));
+    list.take("out", drained_domain{"a"}, start);
+    cr_assert(!list.accepts_work(list.upstreams().at("u1")));
+    cr_assert(list.accepts_work(list.upstreams().at("u2")));
     list.remove("out", false, start + 5s);
-    cr_assert(list.takes_work(list.upstreams().at("u1")));
+    cr_assert(list.accepts_work(list.upstreams().at("u1")));
     cr_assert(list.upstreams().at("u1").cold_until == start + 8s);
     cr_assert(list.upstreams().at("u2").cold_until <= start);
 }
@@ -98,7 +98,7 @@
     one.started_ms = 1000;
     list.take("k1", one, start);
     one.started_ms = 9000;
-    one.cold_left = 3s;
+    one.cold_remaining = 3s;
     list.take("k1", one, start + 60s);
     cr_assert(list.upstreams().at("u1").cold_until == start + 63s);
 }
--- a/tests/edge/bad_input_test.cpp
+++ b/tests/edge/bad_input_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway_world.h"
+#include "gateway_fixture.h"
 
 using namespace dragonflymill;
 using namespace dragonflymill::edge;
@@ -7,7 +7,7 @@
 // descriptor for good: it is told so after the configured time, and nothing is sent anywhere.
 Test(bad_input, a_caller_that_is_too_slow_with_its_head_is_told)
 {
-    gateway_world world;
+    gateway_fixture world;
     world.limits.header_time = 40ms;
     auto& upstream = world.add_upstream("bookings", [](taken_connection&) {});
     world.start();
@@ -20,7 +20,7 @@
 // The body is announced and doesn't come.
 Test(bad_input, a_caller_that_is_too_slow_with_its_body_is_told)
 {
-    gateway_world world;
+    gateway_fixture world;
     world.limits.idle_time = 40ms;
     auto& upstream = world.add_upstream("bookings", [](taken_connection&) {});
     world.start();
@@ -35,7 +35,7 @@
 // one that has gone, and an engine that works on for nobody makes others wait: the upstream is let go.
 Test(bad_input, a_caller_that_closes_its_side_is_taken_to_have_left)
 {
-    gateway_world world;
+    gateway_fixture world;
     auto& upstream = world.add_upstream("engines", [](taken_connection&) {});
     world.start();
     world.send("POST", "/chat/1", "", "prompt");
@@ -49,7 +49,7 @@
 // request on the connection would get it.
 Test(bad_input, a_second_answer_on_a_connection_reaches_nobody)
 {
-    gateway_world world;
+    gateway_fixture world;
     int answered = 0;
     world.add_upstream("bookings", [&](taken_connection& taken) {
         ++answered;
@@ -69,7 +69,7 @@
 // request up. The route's limit holds.
 Test(bad_input, a_stated_time_beyond_all_bounds_counts_as_the_routes_limit)
 {
-    gateway_world world;
+    gateway_fixture world;
     auto& upstream =
         world.add_upstream("bookings", [](taken_connection& taken) { taken.send(whole_answer("done")); });
     world.start();
--- a/tests/edge/caller_request_test.cpp
+++ b/tests/edge/caller_request_test.cpp
@@ -62,7 +62,7 @@
 
 Test(peer_codec, records_come_back_as_they_were)
 {
-    const direct::records_extract extract{
+    const direct::records_update extract{
         {{"k", std::string("\0\xff", 2), 3, false}, {"gone", "", 4, true}}, 4, true};
     cr_assert(decode_extract(encode_extract(extract)) == extract);
     cr_assert(!decode_extract("\xff\xff"));
--- a/tests/edge/gateway_world.h
+++ b/tests/edge/gateway_fixture.h
@@ -22,7 +22,7 @@
 using test_support::standin_upstream;
 using test_support::taken_connection;
 
-/// An answer of an upstream to the request that `gateway_world` sends, with a body of stated length.
+/// An answer of an upstream to the request that `gateway_fixture` sends, with a body of stated length.
 inline auto whole_answer(const std::string& body, const std::string& fields = "") -> std::string
 {
     return "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nSeal: s1\r\n" + fields +
@@ -43,7 +43,7 @@
     /// Hands all records over.
     void tell()
     {
-        direct::records_extract extract;
+        direct::records_update extract;
         for (const auto& [key, fact] : facts) {
             extract.records.push_back({key, "", ++extract.as_of, false});
         }
@@ -52,12 +52,12 @@
         sent_.on_records(extract);
     }
     void stop() override {}
-    [[nodiscard]] auto decode(const direct::fleet_record& record) const -> direct::fleet_fact override
+    [[nodiscard]] auto decode(const direct::fleet_record& record) const -> direct::decoded_record override
     {
         return facts.at(record.key);
     }
 
-    std::map<std::string, direct::fleet_fact> facts;
+    std::map<std::string, direct::decoded_record> facts;
     /// Whether records come only when `tell` is called, rather than at the start.
     bool held_back = false;
 
@@ -66,7 +66,7 @@
 };
 
 /// A gateway over real sockets on one event loop, with stand-in upstreams and callers.
-class gateway_world
+class gateway_fixture
 {
 public:
     /// Adds an upstream of the service `name`.
@@ -167,7 +167,7 @@
         book.host = "h.example";
         book.path_prefix = "/book/";
         book.time_limit = 5s;
-        book.answer_aim = 1s;
+        book.latency_target = 1s;
         book.services = {{"bookings", 1}};
         direct::route_rule chat = book;
         chat.name = "chat";
@@ -181,7 +181,7 @@
         parts.routes = {book, chat};
         parts.services = {{"bookings", 10, 0s, 0.0, std::nullopt}, {"engines", 10, 0s, 0.0, std::nullopt}};
         parts.accounts = {{"acme", {"key1"}, std::nullopt}};
-        parts.keys_needed = true;
+        parts.requires_api_key = true;
         parts.limits = limits;
         return direct::fleet_config(std::move(parts));
     }
