--- a/tests/edge/gateway_flow_test.cpp
+++ b/tests/edge/gateway_flow_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway_world.h"
+#include "gateway_fixture.h"
 
 #include <csignal>
 #include <cstdio>
@@ -33,7 +33,7 @@
 }
 
 /// Starts the gateway, begins a stream through it and asks it to stop; returns the stream's upstream.
-auto stop_while_a_stream_runs(gateway_world& world) -> standin_upstream&
+auto stop_while_a_stream_runs(gateway_fixture& world) -> standin_upstream&
 {
     auto& engine = world.add_upstream("engines", [](taken_connection& taken) {
         taken.send(stream_head + std::string("\r\n") + chunk(event(1)));
@@ -50,7 +50,7 @@
 
 Test(gateway_flow, a_call_goes_through_with_the_gateways_own_fields)
 {
-    gateway_world world;
+    gateway_fixture world;
     auto& upstream =
         world.add_upstream("bookings", [](taken_connection& taken) { taken.send(whole_answer("done")); });
     world.start();
@@ -70,7 +70,7 @@
 // told that nobody knows, and no second upstream gets it.
 Test(gateway_flow, a_booking_that_may_have_run_is_sent_once)
 {
-    gateway_world world;
+    gateway_fixture world;
     int sent = 0;
     const auto reset = [&](taken_connection& taken) {
         ++sent;
@@ -89,7 +89,7 @@
 // nothing.
 Test(gateway_flow, a_booking_that_was_not_run_goes_elsewhere)
 {
-    gateway_world world;
+    gateway_fixture world;
     int sent = 0;
     const auto first_is_full = [&](taken_connection& taken) {
         ++sent == 1
@@ -107,7 +107,7 @@
 // An upstream hands out the answer of another household. It must not reach this one.
 Test(gateway_flow, an_answer_that_belongs_to_another_request_is_not_passed_on)
 {
-    gateway_world world;
+    gateway_fixture world;
     world.add_upstream("bookings", [](taken_connection& taken) {
         taken.send("HTTP/1.1 200 OK\r\nRequest-Id: r2\r\nContent-Length: 6\r\n\r\nsecret");
     });
@@ -119,7 +119,7 @@
 
 Test(gateway_flow, half_an_answer_is_not_taken_for_the_whole)
 {
-    gateway_world world;
+    gateway_fixture world;
     world.add_upstream("bookings", [](taken_connection& taken) {
         taken.send("HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 60\r\n\r\nhalf");
         taken.close();
@@ -134,7 +134,7 @@
 // answer; the caller sees each event once and one head.
 Test(gateway_flow, a_broken_stream_goes_on_elsewhere)
 {
-    gateway_world world;
+    gateway_fixture world;
     std::vector<std::string> resumed;
     int attempt = 0;
     const auto engine = [&](taken_connection& taken) {
@@ -166,7 +166,7 @@
 // can't be taken for the whole.
 Test(gateway_flow, a_stream_that_can_not_go_on_is_cut)
 {
-    gateway_world world;
+    gateway_fixture world;
     const auto engine = [](taken_connection& taken) {
         taken.send(stream_head + std::string("\r\n") + chunk(event(1)));
         taken.reset();
@@ -183,7 +183,7 @@
 // A member hangs up. The engine must not go on for nobody: its connection is closed.
 Test(gateway_flow, the_upstream_is_let_go_when_the_caller_leaves)
 {
-    gateway_world world;
+    gateway_fixture world;
     auto& engine = world.add_upstream("engines", [](taken_connection& taken) {
         taken.send(stream_head + std::string("\r\n") + chunk(event(1)));
     });
@@ -198,7 +198,7 @@
 // upstream.
 Test(gateway_flow, a_smuggled_request_runs_nowhere)
 {
-    gateway_world world;
+    gateway_fixture world;
     auto& upstream =
         world.add_upstream("bookings", [](taken_connection& taken) { taken.send(whole_answer("done")); });
     world.start();
@@ -212,7 +212,7 @@
 
 Test(gateway_flow, what_the_configuration_does_not_allow_is_refused)
 {
-    gateway_world world;
+    gateway_fixture world;
     world.add_upstream("bookings", [](taken_connection& taken) { taken.send(whole_answer("done")); });
     world.start();
     world.send("POST", "/nowhere/1");
@@ -226,7 +226,7 @@
 // when to come back, rather than that the route doesn't exist.
 Test(gateway_flow, a_gateway_without_a_configuration_says_so)
 {
-    gateway_world world;
+    gateway_fixture world;
     world.start(false);
     world.send("POST", "/book/1");
     world.run_until_seen("\"ran\":\"no\"");
@@ -236,7 +236,7 @@
 
 Test(gateway_flow, a_connection_is_used_for_many_requests)
 {
-    gateway_world world;
+    gateway_fixture world;
     auto& upstream =
         world.add_upstream("bookings", [](taken_connection& taken) { taken.send(whole_answer("done")); });
     world.start();
@@ -251,7 +251,7 @@
 // Operators stop a gateway while a stream runs. It goes on to its end before the process does.
 Test(gateway_flow, a_planned_stop_finishes_what_runs)
 {
-    gateway_world world;
+    gateway_fixture world;
     auto& engine = stop_while_a_stream_runs(world);
     engine.requests.at(0)->send(chunk(event(2)) + "0\r\n\r\n");
     world.run_until_seen("\r\n0\r\n\r\n");
@@ -263,8 +263,8 @@
 // turn.
 Test(gateway_flow, a_stopping_gateway_tells_late_callers_when_to_come_back)
 {
-    gateway_world world;
-    world.settings.balancer_lag = 0ms;
+    gateway_fixture world;
+    world.settings.deregistration_delay = 0ms;
     auto& engine = stop_while_a_stream_runs(world);
     world.loop.run_for(1ms);
     world.come_as_another_caller();
@@ -278,7 +278,7 @@
 // Guards against refusing the callers that come back to a gateway in the moment of its start.
 Test(gateway_flow, callers_wait_for_the_configuration_of_a_gateway_that_starts)
 {
-    gateway_world world;
+    gateway_fixture world;
     world.source.held_back = true;
     world.add_upstream("bookings", [](taken_connection& taken) { taken.send(whole_answer("booked")); });
     world.start();
--- a/tests/platform/record_decoder_test.cpp
+++ b/tests/platform/record_decoder_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-auto entry_of(const std::string& json) -> fleet_fact
+auto entry_of(const std::string& json) -> decoded_record
 {
     return decode_record({"servers/i-1", json, 5, false});
 }
@@ -23,7 +23,7 @@
     const auto entry = std::get<upstream_entry>(entry_of(good_entry));
     cr_assert(entry.id == "i-1" && entry.service == "s" && entry.address == "10.0.0.9:8080");
     cr_assert(entry.failure_domain == "z" && entry.slots == 16 && !entry.leaving);
-    cr_assert(entry.cold_left == duration(1500ms) && entry.started_ms == 7);
+    cr_assert(entry.cold_remaining == duration(1500ms) && entry.started_ms == 7);
 }
 
 // Another writer has put something else under an upstream's name. It names no upstream to use, and nothing
@@ -62,16 +62,16 @@
     const auto config = std::get<std::shared_ptr<const fleet_config>>(fact);
     cr_assert(config->version() == 7 && config->routes().size() == 2,
               "a route without a service is left out");
-    const route_rule* route = config->route_of("a.example", "/x/1");
+    const route_rule* route = config->match_route("a.example", "/x/1");
     cr_assert(route != nullptr && route->repeatable() && route->services.size() == 2);
-    cr_assert(route->time_limit == duration(9s) && route->pause_aim == duration(200ms));
-    cr_assert(config->route_of("a.example", "/y/1")->kind == call_kind::non_idempotent,
+    cr_assert(route->time_limit == duration(9s) && route->tbt_target == duration(200ms));
+    cr_assert(config->match_route("a.example", "/y/1")->kind == call_kind::non_idempotent,
               "an unknown kind may be repeated least");
-    const service_rule* service = config->service_of("s");
-    cr_assert(service->engine && service->engine->read_tokens_per_ms == 256.0 &&
+    const service_rule* service = config->find_service("s");
+    cr_assert(service->engine && service->engine->prefill_tokens_per_ms == 256.0 &&
               service->cold_time == duration(3s));
     cr_assert(config->limits().header_bytes == 100 && config->limits().idle_time == duration(15s));
-    cr_assert(config->account_of("k")->name == "t1" && config->keys_needed());
+    cr_assert(config->find_account("k")->name == "t1" && config->requires_api_key());
 }
 
 Test(record_decoder, a_configuration_that_can_not_be_read_is_none)
@@ -86,7 +86,7 @@
 Test(record_decoder, a_zone_that_is_emptied_is_a_domain_out)
 {
     const auto fact = decode_record({"op/evacuate/north-a", "{}", 1, false});
-    cr_assert(std::get<domain_out>(fact).failure_domain == "north-a");
+    cr_assert(std::get<drained_domain>(fact).failure_domain == "north-a");
 }
 
 Test(record_decoder, pages_and_changes_are_read)
--- a/tests/soak/soak_world.cpp
+++ b/tests/soak/soak_world.cpp
@@ -80,21 +80,21 @@
             boost::asio::buffer(buffer_), [self = shared_from_this()](const auto& failed, std::size_t bytes) {
                 auto state = self->parser_.take({self->buffer_.data(), bytes}, self->body_);
                 if (failed) {
-                    state = failed == boost::asio::error::eof ? self->parser_.take_end()
-                                                              : edge::answer_state::invalid;
+                    state = failed == boost::asio::error::eof ? self->parser_.take_eof()
+                                                              : edge::response_state::invalid;
                 }
-                const bool over =
-                    failed || state == edge::answer_state::complete || state == edge::answer_state::invalid;
+                const bool over = failed || state == edge::response_state::complete ||
+                                  state == edge::response_state::invalid;
                 over ? self->end(state) : self->read();
             });
     }
 
-    void end(edge::answer_state state)
+    void end(edge::response_state state)
     {
         const std::string expected = expected_answer(request_, is_stream_);
         promises& kept = world_.promises_;
         const unsigned status = parser_.head().status;
-        if (state == edge::answer_state::complete && status == 200) {
+        if (state == edge::response_state::complete && status == 200) {
             kept.answered(request_, body_, expected);
             world_.calm_answers_ += calm_ ? 1 : 0;
         }
@@ -112,7 +112,7 @@
     std::string request_;
     bool is_stream_;
     bool calm_;
-    edge::answer_parser parser_{false};
+    edge::response_parser parser_{false};
     std::string body_;
     std::array<char, 4096> buffer_{};
 };
--- a/tests/soak/soak_world.h
+++ b/tests/soak/soak_world.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "dragonflymill/core/random_source.h"
-#include "edge/answer_parser.h"
+#include "edge/response_parser.h"
 #include "soak/promises.h"
 #include "soak/store_standin.h"
 #include "support/child_process.h"
