--- a/examples/hello_world/main.cpp
+++ b/examples/hello_world/main.cpp
@@ -21,9 +21,9 @@
     options.ramp.floor = 8'000;
     options.ramp.ceiling = 64'000;
     permit_controller gate(start, options);
-    const permit_ask ask{process_id("gateway-1"), length_class::interactive, 3'000, 3'000};
+    const permit_request ask{process_id("gateway-1"), length_class::interactive, 3'000, 3'000};
     for (int i = 1; i <= 4; ++i) {
-        const permit_answer answer = gate.ask(start, ask);
+        const permit_result answer = gate.ask(start, ask);
         if (const auto* refused = std::get_if<refusal>(&answer)) {
             std::cout << "ask " << i << ": refused, " << to_string(refused->code) << ", ran "
                       << to_string(refused->ran) << '\n';
--- a/include/dragonflymill/admission/first_token_model.h
+++ b/include/dragonflymill/admission/first_token_model.h
@@ -31,7 +31,7 @@
 {
     std::optional<first_token_line> expected; ///< Line of a warm upstream as operators measured it.
     double warm_multiple = 1.5;               ///< Up to this multiple of the line is noise.
-    double cold_multiple = 4.0;               ///< From this multiple on it is a cold sign.
+    double cold_factor = 4.0;                 ///< From this multiple on it is a cold sign.
     duration slack = 50ms;                    ///< Added to both limits, so that short times don't misfire.
     std::uint32_t samples_needed = 16;        ///< Measurements before a line without expectation is trusted.
     duration relearn_after = 180s; ///< Cold signs for so long with nothing faster are the new normal.
--- a/include/dragonflymill/admission/permit_controller.h
+++ b/include/dragonflymill/admission/permit_controller.h
@@ -32,7 +32,7 @@
     /// Stretches the cold limit of classes that the engine serves at low priority.
     std::array<double, length_class_count> leniency{1.0, 1.0, 2.0, 4.0};
     duration lease_term = 3s;         ///< Time after which a permit that was not renewed ends.
-    duration own_pause = 1s;          ///< A gap between two calls that tells this process was paused.
+    duration pause_threshold = 1s;    ///< A gap between two calls that tells this process was paused.
     std::size_t max_permits = 4'096;  ///< Permits at the same time; more are refused.
     duration retry_base = 50ms;       ///< Shortest retry time of a refusal.
     duration retry_per_asker = 5ms;   ///< Spread of retry times for each refusal of the last second.
@@ -40,14 +40,14 @@
 };
 
 /// A gateway's request for a permit.
-struct permit_ask
+struct permit_request
 {
-    process_id asker;                                    ///< The gateway.
+    process_id gateway;                                  ///< The gateway.
     length_class size_class = length_class::interactive; ///< Class by predicted prefill.
     work_cost cost = 1;                                  ///< Tokens it will hold; 1 for a plain call.
     token_count prefill = 0;                             ///< Tokens that the engine has to prefill.
 
-    friend auto operator==(const permit_ask&, const permit_ask&) -> bool = default;
+    friend auto operator==(const permit_request&, const permit_request&) -> bool = default;
 };
 
 /// Leave to put one piece of work to the upstream.
@@ -60,7 +60,7 @@
 };
 
 /// What an ask leads to.
-using permit_answer = std::variant<permit, refusal>;
+using permit_result = std::variant<permit, refusal>;
 
 /// How a piece of work ended.
 enum class work_outcome
@@ -129,7 +129,7 @@
     permit_controller(instant now, permit_controller_options options, std::uint64_t seed = 0);
 
     /// Grants a permit or refuses with ran `no` and a retry time.
-    [[nodiscard]] auto ask(instant now, const permit_ask& request) -> permit_answer;
+    [[nodiscard]] auto ask(instant now, const permit_request& request) -> permit_result;
     /// The first byte is about to leave: false if the permit has ended, and then it must not. A gateway or
     /// sidecar that wakes late with an old permit is stopped here.
     [[nodiscard]] auto begin(instant now, lease_id lease) -> bool;
@@ -173,7 +173,7 @@
 private:
     struct entry
     {
-        permit_ask request;
+        permit_request request;
         instant granted;
         instant until;
         std::optional<instant> began;
@@ -187,9 +187,9 @@
 
     [[nodiscard]] auto reserved_for(length_class size_class, work_cost allowed) const -> work_cost;
     [[nodiscard]] auto room_for(length_class size_class) const -> work_cost;
-    [[nodiscard]] auto refuse(instant now, const permit_ask& request, refusal_code code) -> refusal;
+    [[nodiscard]] auto refuse(instant now, const permit_request& request, refusal_code code) -> refusal;
     [[nodiscard]] auto retry_after(instant now, const process_id& asker) -> duration;
-    [[nodiscard]] auto grant(instant now, const permit_ask& request) -> permit;
+    [[nodiscard]] auto grant(instant now, const permit_request& request) -> permit;
     void advance(instant now);
     void end_expired(instant now);
     void find_overdue(instant now);
--- a/include/dragonflymill/bundle/bundle.h
+++ b/include/dragonflymill/bundle/bundle.h
@@ -77,14 +77,14 @@
 /// One client account.
 struct account_entry
 {
-    client_account_id id;                   ///< Its name.
-    std::string partner;                    ///< The partner whose customer it is.
-    std::string key_sha256;                 ///< Hash of its bearer token, in lower-case hexadecimal.
-    double requests_per_second = 0;         ///< Limit over all gateways.
-    double tokens_per_second = 0;           ///< Limit of prompt and generated tokens over all gateways.
-    std::uint32_t max_in_flight = 0;        ///< Requests at the same time over all gateways.
-    std::uint32_t weight = 1;               ///< Share under overload.
-    priority standing = priority::standard; ///< Priority where the request names none.
+    client_account_id id;            ///< Its name.
+    std::string partner;             ///< The partner whose customer it is.
+    std::string key_sha256;          ///< Hash of its bearer token, in lower-case hexadecimal.
+    double requests_per_second = 0;  ///< Limit over all gateways.
+    double tokens_per_second = 0;    ///< Limit of prompt and generated tokens over all gateways.
+    std::uint32_t max_in_flight = 0; ///< Requests at the same time over all gateways.
+    std::uint32_t weight = 1;        ///< Share under overload.
+    priority request_priority = priority::standard; ///< Priority where the request names none.
 
     friend auto operator==(const account_entry&, const account_entry&) -> bool = default;
 };
--- a/include/dragonflymill/direct/dispatch_call.h
+++ b/include/dragonflymill/direct/dispatch_call.h
@@ -71,7 +71,7 @@
 };
 
 /// Calls in hand at an upstream.
-[[nodiscard]] inline auto in_hand(const dispatch_candidate& upstream) -> int
+[[nodiscard]] inline auto in_flight(const dispatch_candidate& upstream) -> int
 {
     return upstream.load.short_calls + upstream.load.long_calls;
 }
@@ -79,7 +79,7 @@
 /// Whether an upstream may be given one more call.
 [[nodiscard]] inline auto has_slot(const dispatch_candidate& upstream) -> bool
 {
-    return !upstream.suspect && in_hand(upstream) < upstream.slots;
+    return !upstream.suspect && in_flight(upstream) < upstream.slots;
 }
 
 /// Engine memory that a call fills in the end, in tokens.
--- a/include/dragonflymill/gang/gang_planner.h
+++ b/include/dragonflymill/gang/gang_planner.h
@@ -11,18 +11,18 @@
 namespace dragonflymill {
 
 /// Bounds and times of a gang planner.
-struct gang_settings
+struct gang_planner_options
 {
     std::size_t max_gangs = 4;       ///< Gangs of this gateway at once; more are refused.
     std::size_t max_releases = 256;  ///< Releases waiting for confirmation; no gang starts beyond.
     duration hold{10'000'000};       ///< How long a share stands without renewal.
     duration answer_wait{1'000'000}; ///< How long a reservation may stay unanswered.
     duration line_wait{60'000'000};  ///< How long a share may wait in line while the earlier ones are held.
-    duration release_interval{500'000};  ///< How often an unconfirmed release is repeated.
-    duration first_backoff{100'000};     ///< Wait before the second round; doubles up to `longest_backoff`.
-    duration longest_backoff{1'000'000}; ///< Longest wait between rounds.
+    duration release_interval{500'000}; ///< How often an unconfirmed release is repeated.
+    duration initial_backoff{100'000};  ///< Wait before the second round; doubles up to `max_backoff`.
+    duration max_backoff{1'000'000};    ///< Longest wait between rounds.
 
-    friend auto operator==(const gang_settings&, const gang_settings&) -> bool = default;
+    friend auto operator==(const gang_planner_options&, const gang_planner_options&) -> bool = default;
 };
 
 /// Gets a group of engines for a prompt that no single one can hold: all of the shares or none. Shares are
@@ -33,7 +33,7 @@
 {
 public:
     /// Draws the spread of waits with the sequence that belongs to `seed`.
-    explicit gang_planner(std::uint64_t seed, gang_settings settings = {});
+    explicit gang_planner(std::uint64_t seed, gang_planner_options settings = {});
 
     /// Starts a gang. `first_round` is 1 for a new request and beyond every earlier round for a resumed one.
     [[nodiscard]] auto start(instant now, const gang_request& request, attempt_number first_round,
@@ -124,7 +124,7 @@
     [[nodiscard]] auto backoff(const gang& each) -> duration;
     void drop_ended();
 
-    gang_settings settings_;
+    gang_planner_options settings_;
     random_source random_;
     std::vector<gang> gangs_;               // at most max_gangs
     std::vector<pending_release> releases_; // at most max_releases and one gang's shares
--- a/include/dragonflymill/lease/lease_table.h
+++ b/include/dragonflymill/lease/lease_table.h
@@ -22,7 +22,7 @@
 {
     duration term = 5s;               ///< Time after which a lease that was not renewed ends.
     duration adopt_grace = 10s;       ///< Time for an owner to claim what a successor finds at the engine.
-    duration own_pause = 1s;          ///< A gap between two calls that tells this process was paused.
+    duration pause_threshold = 1s;    ///< A gap between two calls that tells this process was paused.
     duration first_retry = 200ms;     ///< Wait after the first cancel.
     duration longest_retry = 5s;      ///< Longest wait between two cancels.
     std::size_t max_holdings = 8'192; ///< Holdings with an owner or a pending cancel; more are refused.
--- a/include/dragonflymill/once/key_home.h
+++ b/include/dragonflymill/once/key_home.h
@@ -12,7 +12,7 @@
 namespace dragonflymill {
 
 /// The number that stands for a caller's idempotency key when its home is chosen.
-[[nodiscard]] auto home_key(const route_id& route, const client_account_id& account, std::string_view key)
+[[nodiscard]] auto home_hash(const route_id& route, const client_account_id& account, std::string_view key)
     -> std::uint64_t;
 
 /// Home of a key among the *configured* upstreams of its route: never among those that seem alive, since two
@@ -47,7 +47,7 @@
     void adopt(instant now, const route_id& route, std::vector<upstream_id> configured);
 
     /// Whether the bundle in force makes this upstream the home of `key`.
-    [[nodiscard]] auto home_here(const route_id& route, std::uint64_t key) const -> bool;
+    [[nodiscard]] auto is_home(const route_id& route, std::uint64_t key) const -> bool;
     /// The last moment at which another upstream may have run `key` as its home.
     [[nodiscard]] auto other_home_until(const route_id& route, std::uint64_t key) const
         -> std::optional<instant>;
--- a/include/dragonflymill/once/once_ledger.h
+++ b/include/dragonflymill/once/once_ledger.h
@@ -33,7 +33,7 @@
     std::size_t max_bytes = 32 * 1'024 * 1'024; ///< Bytes remembered at most.
     std::size_t max_answer_bytes = 4'096;       ///< Longer answers are remembered without their body.
     duration submit_term = 30s;                 ///< Time in which a ticket can be submitted.
-    duration own_pause = 1s;                    ///< A gap between two calls that tells of an own pause.
+    duration pause_threshold = 1s;              ///< A gap between two calls that tells of an own pause.
     duration clock_skew = 5s;                   ///< Bound on the error between civil clocks.
     duration predecessor_lease = 10s;           ///< Longest time for which a predecessor may still act.
 };
@@ -59,8 +59,8 @@
 /// A call named by the caller's own idempotency key.
 struct key_name
 {
-    std::string key;       ///< The key as the caller gave it.
-    bool home_here = true; ///< Whether the bundle in force here makes this upstream the key's home.
+    std::string key;     ///< The key as the caller gave it.
+    bool is_home = true; ///< Whether the bundle in force here makes this upstream the key's home.
     /// Until when another upstream may have run it as its home (see key_home); nothing if none can have.
     std::optional<instant> other_home_until;
 
@@ -195,9 +195,9 @@
     [[nodiscard]] auto own_lease() const -> instant { return own_lease_.value_or(instant::min()); }
     /// A predecessor may have acted until then, if that is later than the options say: the own address was
     /// not bound before.
-    void predecessor_acts_until(instant until) { own_since_ = std::max(own_since_, until); }
-    /// Forgets what is over. To be called more often than `own_pause`: time in which this process was paused
-    /// doesn't count, since retries sent meanwhile still wait in its sockets.
+    void extend_predecessor_lease(instant until) { own_since_ = std::max(own_since_, until); }
+    /// Forgets what is over. To be called more often than `pause_threshold`: time in which this process was
+    /// paused doesn't count, since retries sent meanwhile still wait in its sockets.
     void tick(instant now);
 
     /// Calls remembered.
@@ -250,7 +250,7 @@
     void set_due(call_serial serial, entry& held, instant due);
     void settle(instant now, call_serial serial, entry& held, call_state state);
     void forget(call_serial serial);
-    void notice_own_pause(instant now);
+    void account_for_process_pause(instant now);
     [[nodiscard]] auto awake(instant now) const -> instant { return now - paused_; }
 
     once_ledger_options options_;
--- a/include/dragonflymill/order/order_tracker.h
+++ b/include/dragonflymill/order/order_tracker.h
@@ -26,8 +26,8 @@
     std::uint32_t start_seconds = 0; ///< Civil time of the start, in seconds: rises from start to start.
     instant started;                 ///< When it started.
     duration predecessor_lease = 4s; ///< How long a predecessor may still give orders.
-    duration reread_after = 500ms;   ///< Wait after an order before the engine's state is believed.
-    duration answer_limit = 60s;     ///< An order without an answer for so long is given up and read again.
+    duration reread_delay = 500ms;   ///< Wait after an order before the engine's state is believed.
+    duration answer_timeout = 60s;   ///< An order without an answer for so long is given up and read again.
     duration load_jitter = 3s;       ///< Loads begin within this time, so that they don't come together.
     duration retry_base = 1s;        ///< First wait after a failed order.
     duration retry_limit = 60s;      ///< Longest wait after failed orders.
@@ -142,7 +142,7 @@
     /// The bundle's word; an older version than before is ignored.
     void declare(instant now, declared_engine wanted);
     /// The engine's word about itself.
-    void engine_read(const engine_view& view);
+    void engine_state_received(const engine_view& view);
     /// Word about the other replicas of a declared model.
     void replicas(const model_id& model, replica_view view);
     /// Until when the sidecar's own lease runs (see own_lease).
--- a/include/dragonflymill/overload/shed_classes.h
+++ b/include/dragonflymill/overload/shed_class_stats.h
@@ -14,7 +14,7 @@
 [[nodiscard]] auto shed_class_of(work_priority priority, length_class size, bool over_share) -> std::size_t;
 
 /// Work offered of late in each shed class, and how often it ended in its limit.
-class shed_classes
+class shed_class_stats
 {
 public:
     /// Recent offers and outcomes of a class; offers fade with a half-life of ten seconds.
--- a/include/dragonflymill/overload/shedding_policies.h
+++ b/include/dragonflymill/overload/shedding_policies.h
@@ -3,7 +3,7 @@
 #include "dragonflymill/core/random_source.h"
 #include "dragonflymill/overload/fair_shares.h"
 #include "dragonflymill/overload/overload_policy.h"
-#include "dragonflymill/overload/shed_classes.h"
+#include "dragonflymill/overload/shed_class_stats.h"
 
 namespace dragonflymill {
 
@@ -66,7 +66,7 @@
 private:
     random_source random_;
     fair_shares shares_;
-    shed_classes classes_;
+    shed_class_stats classes_;
 };
 
 /// Settings of contribution shedding.
@@ -110,7 +110,7 @@
     contribution_settings settings_;
     random_source random_;
     fair_shares shares_;
-    shed_classes classes_;
+    shed_class_stats classes_;
 };
 
 } // namespace dragonflymill
--- a/include/dragonflymill/retry/retry_rules.h
+++ b/include/dragonflymill/retry/retry_rules.h
@@ -45,14 +45,14 @@
 /// Settings of the retry rules.
 struct retry_settings
 {
-    double retry_share = 0.1;       ///< Retries as a share of successes.
-    double retry_burst = 20.0;      ///< Retries saved up at most.
-    double resume_share = 0.5;      ///< Resumes of running streams as a share of successes.
-    double resume_burst = 200.0;    ///< Resumes saved up at most: a failure domain's streams move at once.
-    std::uint64_t max_attempts = 4; ///< Tries at one call.
-    duration first_backoff{20'000}; ///< Wait before a second try at an upstream already tried.
-    duration longest_backoff{2'000'000}; ///< Longest wait of ours; an upstream may ask for more.
-    duration least_useful{50'000};       ///< A try that would have less time than this is not made.
+    double retry_share = 0.1;         ///< Retries as a share of successes.
+    double retry_burst = 20.0;        ///< Retries saved up at most.
+    double resume_share = 0.5;        ///< Resumes of running streams as a share of successes.
+    double resume_burst = 200.0;      ///< Resumes saved up at most: a failure domain's streams move at once.
+    std::uint64_t max_attempts = 4;   ///< Tries at one call.
+    duration initial_backoff{20'000}; ///< Wait before a second try at an upstream already tried.
+    duration max_backoff{2'000'000};  ///< Longest wait of ours; an upstream may ask for more.
+    duration least_useful{50'000};    ///< A try that would have less time than this is not made.
 
     friend auto operator==(const retry_settings&, const retry_settings&) -> bool = default;
 };
--- a/include/dragonflymill/serve/attempt_tracker.h
+++ b/include/dragonflymill/serve/attempt_tracker.h
@@ -2,7 +2,7 @@
 
 #include "dragonflymill/core/deadline_budget.h"
 #include "dragonflymill/serve/sidecar_messages.h"
-#include "dragonflymill/serve/stream_watch.h"
+#include "dragonflymill/serve/stream_stall_detector.h"
 
 #include <cstdint>
 #include <map>
@@ -26,7 +26,7 @@
     /// `warm_ups` begins the names of the engine's warm-up requests, unlike those of any other start.
     /// `watch` says when a stream's silence counts.
     attempt_tracker(permit_controller& gate, duration cancel_backoff, std::string warm_ups,
-                    const stream_watch_options& watch = {});
+                    const stream_stall_options& watch = {});
 
     /// Puts a request of the sidecar's own to an engine that is cold and is asked for nothing that it can
     /// take: without one it would stay cold. At most one at a time, and only if the gate grants it.
@@ -111,7 +111,7 @@
 
     permit_controller& gate_;
     duration cancel_backoff_;
-    stream_watch watch_;
+    stream_stall_detector watch_;
     attempts attempts_;
     std::map<lease_id, call_number> by_lease_;
     std::map<process_id, std::set<call_number>> by_gateway_;
--- a/include/dragonflymill/serve/completion_dispatcher.h
+++ b/include/dragonflymill/serve/completion_dispatcher.h
@@ -53,7 +53,7 @@
     /// The engines of a gang are ready for the answer.
     void decode(instant now, const gang_decode& made, std::vector<gateway_action>& actions);
     /// A gang can't be had or was lost.
-    void lost(instant now, const gang_lost& loss, std::vector<gateway_action>& actions);
+    void lost(instant now, const gang_attempt_lost& loss, std::vector<gateway_action>& actions);
     /// Acts on what is due.
     void tick(instant now, std::vector<gateway_action>& actions);
 
--- a/include/dragonflymill/serve/gang_dispatcher.h
+++ b/include/dragonflymill/serve/gang_dispatcher.h
@@ -25,22 +25,22 @@
 };
 
 /// The gang of a request can't be had, or one of its members was lost.
-struct gang_lost
+struct gang_attempt_lost
 {
     exchange_number exchange; ///< The request.
     refusal why;              ///< Why.
     bool is_final = false;    ///< Whether another gang can't help within the time limit.
 
-    friend auto operator==(const gang_lost&, const gang_lost&) -> bool = default;
+    friend auto operator==(const gang_attempt_lost&, const gang_attempt_lost&) -> bool = default;
 };
 
 /// What becomes of a gang.
-using gang_outcome = std::variant<gang_decode, gang_lost>;
+using gang_outcome = std::variant<gang_decode, gang_attempt_lost>;
 
 /// The gangs that one gateway has in hand: asks for their shares, has the spans computed one after the other,
 /// and says where to decode. Every share is given back when the request ends or a member is lost.
 ///
-/// Bound: `gang_settings::max_gangs` gangs over all models; more are refused.
+/// Bound: `gang_planner_options::max_gangs` gangs over all models; more are refused.
 class gang_dispatcher
 {
 public:
--- a/include/dragonflymill/serve/gateway_core.h
+++ b/include/dragonflymill/serve/gateway_core.h
@@ -46,10 +46,10 @@
     [[nodiscard]] auto step(instant now, const gateway_event& event) -> std::vector<gateway_action>;
 
     /// Another gateway, or this one, asks for shares of accounts whose home this is.
-    [[nodiscard]] auto shares_asked(instant now, const std::vector<share_request>& requests)
+    [[nodiscard]] auto grant_shares(instant now, const std::vector<share_request>& requests)
         -> std::vector<share_grant>;
     /// Requests and calls in hand.
-    [[nodiscard]] auto in_hand() const -> std::size_t { return completions_.size() + calls_.size(); }
+    [[nodiscard]] auto in_flight() const -> std::size_t { return completions_.size() + calls_.size(); }
     /// Requests in hand whose work is paused.
     [[nodiscard]] auto paused() const -> std::size_t { return overload_.paused(); }
     /// What is known of the upstreams, for display.
@@ -77,7 +77,7 @@
     void take(instant now, const gateway_input::service_refused& input, actions_out& actions);
     void take(instant now, const gateway_input::ticket_given& input, actions_out& actions);
     void take(instant now, const gateway_input::service_running& input, actions_out& actions);
-    void take(instant now, const gateway_input::load_heard& input, actions_out& actions);
+    void take(instant now, const gateway_input::load_reported& input, actions_out& actions);
     void take(instant now, const gateway_input::upstream_changed& input, actions_out& actions);
     void take(instant now, const gateway_input::bundle_adopted& input, actions_out& actions);
     void take(instant now, const gateway_input::drains_changed& input, actions_out& actions);
@@ -86,7 +86,7 @@
     void take(instant now, const share_granted& input, actions_out& actions);
     void take(instant now, const share_refused& input, actions_out& actions);
     void take(instant now, const share_released& input, actions_out& actions);
-    void take(instant now, const gateway_input::stop_asked& input, actions_out& actions);
+    void take(instant now, const gateway_input::stop_requested& input, actions_out& actions);
     void take(instant now, const gateway_input::tick& input, actions_out& actions);
 
     [[nodiscard]] auto refuse_if_not_ready(exchange_number exchange, actions_out& actions) const -> bool;
--- a/include/dragonflymill/serve/gateway_messages.h
+++ b/include/dragonflymill/serve/gateway_messages.h
@@ -33,7 +33,7 @@
 };
 
 /// What a caller wants of a plain service.
-enum class service_wish
+enum class service_operation
 {
     run,    ///< Run the call.
     ticket, ///< Give a ticket for a later call.
@@ -46,17 +46,17 @@
 /// A caller asks for a completion.
 struct completion_arrived
 {
-    exchange_number exchange;               ///< The request.
-    request_id request;                     ///< Its name.
-    client_account_id account;              ///< Whose it is.
-    model_id model;                         ///< Model it asks for.
-    adapter_id adapter;                     ///< Adapter it asks for; empty for none.
-    priority standing = priority::standard; ///< Its priority.
-    token_count prompt_tokens = 0;          ///< Length of the prompt.
-    token_count max_tokens = 0;             ///< Most tokens of the answer.
-    std::vector<block_hash> blocks{};       ///< Chained hashes of the prompt's blocks.
-    duration time_limit{0};                 ///< Its time limit, from when it was read.
-    duration waited{0};                     ///< How long ago that was.
+    exchange_number exchange;                       ///< The request.
+    request_id request;                             ///< Its name.
+    client_account_id account;                      ///< Whose it is.
+    model_id model;                                 ///< Model it asks for.
+    adapter_id adapter;                             ///< Adapter it asks for; empty for none.
+    priority request_priority = priority::standard; ///< Its priority.
+    token_count prompt_tokens = 0;                  ///< Length of the prompt.
+    token_count max_tokens = 0;                     ///< Most tokens of the answer.
+    std::vector<block_hash> blocks{};               ///< Chained hashes of the prompt's blocks.
+    duration time_limit{0};                         ///< Its time limit, from when it was read.
+    duration waited{0};                             ///< How long ago that was.
 
     /// What is left of its time limit; not above zero if none is.
     [[nodiscard]] auto remaining() const -> duration { return time_limit - waited; }
@@ -64,10 +64,10 @@
 /// A caller calls a plain service, or asks for a ticket or a status.
 struct service_arrived
 {
-    exchange_number exchange;              ///< The request.
-    service_wish wish = service_wish::run; ///< What it wants.
-    service_spec spec;                     ///< The call, with its time limit from when it was read.
-    duration waited{0};                    ///< How long ago that was.
+    exchange_number exchange;                             ///< The request.
+    service_operation operation = service_operation::run; ///< What it wants.
+    service_spec spec;  ///< The call, with its time limit from when it was read.
+    duration waited{0}; ///< How long ago that was.
 };
 /// The caller left before its answer was whole.
 struct caller_left
@@ -131,7 +131,7 @@
     attempt_key key; ///< The try.
 };
 /// A load word of an upstream, out of an answer or a heartbeat.
-struct load_heard
+struct load_reported
 {
     upstream_id upstream; ///< The upstream.
     upstream_load load;   ///< Its word.
@@ -167,7 +167,7 @@
     instant asked;                   ///< When they were asked for.
 };
 /// The process is to stop: what is in hand is finished.
-struct stop_asked
+struct stop_requested
 {
 };
 /// Time passed.
@@ -183,9 +183,9 @@
     gateway_input::attempt_granted, gateway_input::attempt_refused, gateway_input::attempt_tokens,
     gateway_input::attempt_finished, gateway_input::attempt_broken, gateway_input::service_answered,
     gateway_input::service_refused, gateway_input::ticket_given, gateway_input::service_running,
-    gateway_input::load_heard, gateway_input::upstream_changed, gateway_input::bundle_adopted,
+    gateway_input::load_reported, gateway_input::upstream_changed, gateway_input::bundle_adopted,
     gateway_input::drains_changed, gateway_input::gateways_changed, gateway_input::shares_granted,
-    share_granted, share_refused, share_released, gateway_input::stop_asked, gateway_input::tick>;
+    share_granted, share_refused, share_released, gateway_input::stop_requested, gateway_input::tick>;
 
 /// Outputs of `gateway_core`.
 namespace gateway_output {
@@ -211,10 +211,10 @@
 /// Call a sidecar's plain service.
 struct call_service
 {
-    upstream_id upstream;                  ///< The upstream.
-    attempt_key key;                       ///< The try.
-    service_wish wish = service_wish::run; ///< What is wanted.
-    service_spec spec;                     ///< The call.
+    upstream_id upstream;                                 ///< The upstream.
+    attempt_key key;                                      ///< The try.
+    service_operation operation = service_operation::run; ///< What is wanted.
+    service_spec spec;                                    ///< The call.
 };
 /// Give the caller tokens.
 struct deliver
@@ -250,7 +250,7 @@
     std::string ticket;       ///< The ticket's text.
 };
 /// Tell the caller that the call it asks about is running.
-struct tell_running
+struct report_running
 {
     exchange_number exchange; ///< The request.
 };
@@ -260,7 +260,7 @@
     std::vector<upstream_entry> upstreams; ///< The subset.
 };
 /// Ask the home of some accounts for shares of their limits.
-struct ask_for_shares
+struct request_account_shares
 {
     ask_shares asked; ///< Whom and what.
 };
@@ -270,12 +270,12 @@
     upstream_id upstream; ///< The upstream.
 };
 /// Log that a request's work is paused.
-struct note_paused
+struct log_paused
 {
     exchange_number exchange; ///< The request.
 };
 /// Log that a paused request's work goes on.
-struct note_resumed
+struct log_resumed
 {
     exchange_number exchange; ///< The request.
 };
@@ -291,9 +291,9 @@
     std::variant<gateway_output::open_attempt, gateway_output::send_prompt, gateway_output::cancel_attempt,
                  gateway_output::call_service, gateway_output::deliver, gateway_output::finish,
                  gateway_output::refuse, gateway_output::answer_service, gateway_output::give_ticket,
-                 gateway_output::tell_running, reserve_share, renew_share, release_share,
-                 gateway_output::connect_upstreams, gateway_output::ask_for_shares,
-                 gateway_output::probe_load, gateway_output::note_paused, gateway_output::note_resumed,
+                 gateway_output::report_running, reserve_share, renew_share, release_share,
+                 gateway_output::connect_upstreams, gateway_output::request_account_shares,
+                 gateway_output::probe_load, gateway_output::log_paused, gateway_output::log_resumed,
                  gateway_output::all_done>;
 
 } // namespace dragonflymill
--- a/include/dragonflymill/serve/link_schedule.h
+++ b/include/dragonflymill/serve/link_schedule.h
@@ -12,14 +12,18 @@
 namespace dragonflymill {
 
 /// Times of the heartbeats between a gateway and one sidecar.
-struct heartbeat_times
+struct heartbeat_options
 {
     duration interval = 500ms; ///< Quiet on a connection with work on it after which it has to show life.
     std::uint64_t misses = 3;  ///< Intervals of quiet after which a connection with work is replaced.
-    duration renewal = 15s;    ///< Longest time without a word to a sidecar that holds work of the gateway.
+    duration renewal_interval =
+        15s; ///< Longest time without a word to a sidecar that holds work of the gateway.
 
     /// Quiet after which a connection with work on it is given up.
-    [[nodiscard]] auto patience() const -> duration { return interval * static_cast<std::int64_t>(misses); }
+    [[nodiscard]] auto silence_timeout() const -> duration
+    {
+        return interval * static_cast<std::int64_t>(misses);
+    }
 };
 
 /// What a link_schedule wants done.
@@ -46,20 +50,20 @@
 {
 public:
     /// A link whose connection for short prompts has just been opened.
-    link_schedule(instant now, heartbeat_times times);
+    link_schedule(instant now, heartbeat_options times);
 
     /// A connection was opened; it has to show life.
     void opened(instant now, length_class size);
     /// How many tries and calls on a connection wait for a word; with `sent`, one of them has just been put.
-    void work(instant now, length_class size, std::size_t count, bool sent = false);
+    void set_in_flight(instant now, length_class size, std::size_t count, bool sent = false);
     /// Anything was received on a connection.
-    void heard(instant now, length_class size);
+    void received(instant now, length_class size);
     /// A connection broke.
-    void broke(instant now, length_class size);
+    void disconnected(instant now, length_class size);
     /// A connection is to be proven before something is sent on it that may not be lost.
-    void check(instant now, length_class size);
+    void request_heartbeat(instant now, length_class size);
     /// Whether a connection showed life so lately that a call that may not be repeated can go out on it.
-    [[nodiscard]] auto proven(instant now, length_class size) const -> bool;
+    [[nodiscard]] auto recently_alive(instant now, length_class size) const -> bool;
 
     /// What is due.
     [[nodiscard]] auto tick(instant now) -> link_actions;
@@ -84,7 +88,7 @@
     [[nodiscard]] auto longest_quiet() const -> duration;
     [[nodiscard]] auto present_state(instant now) const -> upstream_state;
 
-    heartbeat_times times_;
+    heartbeat_options times_;
     std::array<connection, length_class_count> connections_;
     upstream_state state_ = upstream_state::suspect;
     std::optional<instant> heard_at_;    // on any connection
--- a/include/dragonflymill/serve/order_dispatcher.h
+++ b/include/dragonflymill/serve/order_dispatcher.h
@@ -13,12 +13,12 @@
 /// Settings of an order_dispatcher.
 struct order_dispatcher_options
 {
-    upstream_id self;             ///< The upstream that the sidecar stands beside.
-    order_tracker_options keeper; ///< Times of the orders.
-    duration answer_limit = 60s;  ///< An order without an answer for so long is given up.
-    duration ask_interval = 2s;   ///< Between two rounds of questions to the other replicas.
-    duration ask_limit = 1500ms;  ///< A replica that has not answered by then is not waited for.
-    std::size_t max_group = 16;   ///< Replicas that heed each other at most.
+    upstream_id self;              ///< The upstream that the sidecar stands beside.
+    order_tracker_options keeper;  ///< Times of the orders.
+    duration answer_timeout = 60s; ///< An order without an answer for so long is given up.
+    duration ask_interval = 2s;    ///< Between two rounds of questions to the other replicas.
+    duration ask_limit = 1500ms;   ///< A replica that has not answered by then is not waited for.
+    std::size_t max_group = 16;    ///< Replicas that heed each other at most.
 };
 
 /// The replicas of a model that heed each other when they load: all of them, or, when they are too many, one
@@ -43,7 +43,7 @@
     /// The bundle in force changed.
     void declared(instant now, const sidecar_input::declared_changed& input);
     /// The engine's word about itself.
-    void engine_read(instant now, const sidecar_input::engine_reported& report);
+    void engine_state_received(instant now, const sidecar_input::engine_reported& report);
     /// Another sidecar's answer.
     void answered(const sidecar_input::sidecar_answered& answer);
     /// How an order went; one that was given up meanwhile is ignored.
--- a/include/dragonflymill/serve/order_messages.h
+++ b/include/dragonflymill/serve/order_messages.h
@@ -81,7 +81,7 @@
     sidecar_place place; ///< Whom.
 };
 /// Give an order to the engine, but not after `not_after`.
-struct give_order
+struct send_order
 {
     std::uint64_t number = 0; ///< Repeated in the answer.
     engine_order order;       ///< What to do.
--- a/include/dragonflymill/serve/overload_controller.h
+++ b/include/dragonflymill/serve/overload_controller.h
@@ -25,13 +25,13 @@
 };
 
 /// The request may come in, but its work starts later: `overload_controller::review` says when.
-struct hold_work
+struct defer_work
 {
-    friend auto operator==(const hold_work&, const hold_work&) -> bool = default;
+    friend auto operator==(const defer_work&, const defer_work&) -> bool = default;
 };
 
 /// What becomes of a request that asks to come in.
-using overload_answer = std::variant<admit_work, hold_work, refusal>;
+using overload_answer = std::variant<admit_work, defer_work, refusal>;
 
 /// What has to be done with work in hand.
 struct overload_review
--- a/include/dragonflymill/serve/self_check.h
+++ b/include/dragonflymill/serve/own_lease_renewer.h
@@ -9,8 +9,8 @@
 
 namespace dragonflymill {
 
-/// Settings of a self_check.
-struct self_check_options
+/// Settings of a own_lease_renewer.
+struct own_lease_renewer_options
 {
     upstream_id upstream;      ///< The upstream that the sidecar stands beside.
     incarnation self;          ///< This start of the sidecar.
@@ -24,11 +24,11 @@
 /// Guarded failure: an old sidecar, paused and awake again beside its successor, runs keyed calls and gives
 /// orders that the successor gives too. The pause is not what ends its lease: it also ends when the address
 /// has gone to another while this process ran all the time.
-class self_check
+class own_lease_renewer
 {
 public:
     /// No lease before listening().
-    explicit self_check(self_check_options options);
+    explicit own_lease_renewer(own_lease_renewer_options options);
 
     /// The own address is bound.
     void listening(instant now);
@@ -49,7 +49,7 @@
     [[nodiscard]] auto superseded() const -> bool { return lease_ && lease_->superseded(); }
 
 private:
-    self_check_options options_;
+    own_lease_renewer_options options_;
     std::optional<own_lease> lease_;
     std::string address_;
     instant next_ask_;
--- a/include/dragonflymill/serve/service_dispatcher.h
+++ b/include/dragonflymill/serve/service_dispatcher.h
@@ -23,19 +23,19 @@
     void routes_changed(instant now, const std::vector<sidecar_input::route_view>& routes);
 
     /// A gateway asks for a ticket.
-    void ticket_asked(instant now, const sidecar_input::ticket_asked& input,
+    void ticket_asked(instant now, const sidecar_input::ticket_requested& input,
                       std::vector<sidecar_action>& actions);
     /// A gateway calls the service.
     void called(instant now, const sidecar_input::service_called& input,
                 std::vector<sidecar_action>& actions);
     /// A gateway asks what became of a call.
-    void status_asked(instant now, const sidecar_input::status_asked& input,
+    void status_asked(instant now, const sidecar_input::status_requested& input,
                       std::vector<sidecar_action>& actions);
     /// The service answered.
     void answered(instant now, const sidecar_input::service_answered& input,
                   std::vector<sidecar_action>& actions);
     /// No answer will come.
-    void broken(instant now, const sidecar_input::service_broken& input,
+    void broken(instant now, const sidecar_input::service_failed& input,
                 std::vector<sidecar_action>& actions);
     /// The gateway went away; a call that may not be repeated runs on, and its outcome is remembered.
     void cancelled(call_number call);
--- a/include/dragonflymill/serve/share_coordinator.h
+++ b/include/dragonflymill/serve/share_coordinator.h
@@ -25,12 +25,13 @@
     share_coordinator(permit_controller& gate, upstream_id self, std::uint64_t seed);
 
     /// A gateway asks for a share: granted, refused, or refused with a place in line.
-    void asked(instant now, const sidecar_input::share_asked& input, std::vector<sidecar_action>& actions);
+    void asked(instant now, const sidecar_input::share_requested& input,
+               std::vector<sidecar_action>& actions);
     /// A gateway wants to keep a share.
-    void renewal_asked(instant now, const sidecar_input::share_renewal_asked& input,
+    void renewal_asked(instant now, const sidecar_input::share_renewal_requested& input,
                        std::vector<sidecar_action>& actions);
     /// A gateway gives a share back.
-    void returned(instant now, const sidecar_input::share_returned& input,
+    void returned(instant now, const sidecar_input::share_release_requested& input,
                   std::vector<sidecar_action>& actions);
     /// Hands out the permit of the share under which a try is to run; nothing if the share has ended, is
     /// another gateway's or was used before. The permit of an answer belongs to the try from then on.
@@ -47,9 +48,9 @@
     void tick(instant now, std::vector<sidecar_action>& actions);
 
     /// Whether the next free memory is kept for a share, so that `spec` may not have it.
-    [[nodiscard]] auto keeps_line(instant now, const attempt_spec& spec) const -> bool;
+    [[nodiscard]] auto admits_only_reserved(instant now, const attempt_spec& spec) const -> bool;
     /// Permits of shares that have ended since the last call while a try ran, or may run, under them.
-    [[nodiscard]] auto take_ended() -> std::vector<lease_id> { return std::exchange(ended_, {}); }
+    [[nodiscard]] auto take_ended_permits() -> std::vector<lease_id> { return std::exchange(ended_, {}); }
     /// Shares, and releases that the engine has not confirmed.
     [[nodiscard]] auto size() const -> std::size_t { return shares_.size() + leases_.cancelling(); }
 
@@ -81,8 +82,9 @@
         instant until;
     };
 
-    void reserve(instant now, const sidecar_input::share_asked& input, std::vector<sidecar_action>& actions);
-    void refuse(instant now, const sidecar_input::share_asked& input, refusal why,
+    void reserve(instant now, const sidecar_input::share_requested& input,
+                 std::vector<sidecar_action>& actions);
+    void refuse(instant now, const sidecar_input::share_requested& input, refusal why,
                 std::vector<sidecar_action>& actions);
     [[nodiscard]] auto line_for_another(instant now, const gang_key& gang) const -> bool;
     [[nodiscard]] auto may_wait(const reserve_share& wanted, const refusal& why) const -> bool;
--- a/include/dragonflymill/serve/sidecar_core.h
+++ b/include/dragonflymill/serve/sidecar_core.h
@@ -2,7 +2,7 @@
 
 #include "dragonflymill/serve/attempt_tracker.h"
 #include "dragonflymill/serve/order_dispatcher.h"
-#include "dragonflymill/serve/self_check.h"
+#include "dragonflymill/serve/own_lease_renewer.h"
 #include "dragonflymill/serve/service_dispatcher.h"
 #include "dragonflymill/serve/share_coordinator.h"
 #include "dragonflymill/serve/sidecar_messages.h"
@@ -18,7 +18,7 @@
     once_ledger_options ledger;      ///< Calls that may not be repeated.
     duration own_lease_term = 5s;    ///< How long a successor waits; a longer pause ends this process.
     duration cancel_backoff = 200ms; ///< Time between two cancels of one stream.
-    stream_watch_options watch;      ///< When a stream's silence counts.
+    stream_stall_options watch;      ///< When a stream's silence counts.
     std::uint64_t seed = 0;          ///< Spreads retry times.
     std::uint32_t start_seconds = 0; ///< Civil time of the start, for the numbers that fence orders.
 };
@@ -40,7 +40,7 @@
     /// The upstream's load as gateways get it with answers and heartbeats.
     [[nodiscard]] auto load(instant now) const -> upstream_load;
     /// Tries, calls and shares in hand.
-    [[nodiscard]] auto in_hand() const -> std::size_t
+    [[nodiscard]] auto in_flight() const -> std::size_t
     {
         return attempts_.size() + services_.size() + shares_.size();
     }
@@ -48,7 +48,7 @@
     /// answers at its address: it has to be started anew, since a successor may have taken its place.
     [[nodiscard]] auto superseded() const -> bool { return superseded_ || self_check_.superseded(); }
     /// Whether calls by key are run and orders are given now.
-    [[nodiscard]] auto acts(instant now) const -> bool { return now < ledger_.own_lease(); }
+    [[nodiscard]] auto holds_own_lease(instant now) const -> bool { return now < ledger_.own_lease(); }
     /// What is ordered of the engine.
     [[nodiscard]] auto orders() const -> const order_dispatcher& { return orders_; }
 
@@ -66,7 +66,8 @@
     void take(instant now, const sidecar_input::attempt_opened& input, std::vector<sidecar_action>& actions);
     void take(instant now, const sidecar_input::prompt_received& input, std::vector<sidecar_action>& actions);
     void take(instant now, const sidecar_input::call_cancelled& input, std::vector<sidecar_action>& actions);
-    void take(instant now, const sidecar_input::gateway_heard& input, std::vector<sidecar_action>& actions);
+    void take(instant now, const sidecar_input::gateway_heartbeat& input,
+              std::vector<sidecar_action>& actions);
     void take(instant now, const sidecar_input::engine_tokens& input, std::vector<sidecar_action>& actions);
     void take(instant now, const sidecar_input::engine_finished& input, std::vector<sidecar_action>& actions);
     void take(instant now, const sidecar_input::engine_failed& input, std::vector<sidecar_action>& actions);
@@ -74,16 +75,19 @@
     void take(instant now, const sidecar_input::cancel_confirmed& input,
               std::vector<sidecar_action>& actions);
     void take(instant now, const sidecar_input::span_released& input, std::vector<sidecar_action>& actions);
-    void take(instant now, const sidecar_input::share_asked& input, std::vector<sidecar_action>& actions);
-    void take(instant now, const sidecar_input::share_renewal_asked& input,
+    void take(instant now, const sidecar_input::share_requested& input, std::vector<sidecar_action>& actions);
+    void take(instant now, const sidecar_input::share_renewal_requested& input,
+              std::vector<sidecar_action>& actions);
+    void take(instant now, const sidecar_input::share_release_requested& input,
+              std::vector<sidecar_action>& actions);
+    void take(instant now, const sidecar_input::ticket_requested& input,
               std::vector<sidecar_action>& actions);
-    void take(instant now, const sidecar_input::share_returned& input, std::vector<sidecar_action>& actions);
-    void take(instant now, const sidecar_input::ticket_asked& input, std::vector<sidecar_action>& actions);
     void take(instant now, const sidecar_input::service_called& input, std::vector<sidecar_action>& actions);
-    void take(instant now, const sidecar_input::status_asked& input, std::vector<sidecar_action>& actions);
+    void take(instant now, const sidecar_input::status_requested& input,
+              std::vector<sidecar_action>& actions);
     void take(instant now, const sidecar_input::service_answered& input,
               std::vector<sidecar_action>& actions);
-    void take(instant now, const sidecar_input::service_broken& input, std::vector<sidecar_action>& actions);
+    void take(instant now, const sidecar_input::service_failed& input, std::vector<sidecar_action>& actions);
     void take(instant now, const sidecar_input::drain_changed& input, std::vector<sidecar_action>& actions);
     void take(instant now, const sidecar_input::capacity_changed& input,
               std::vector<sidecar_action>& actions);
@@ -97,7 +101,7 @@
     void take(instant now, const sidecar_input::sidecar_answered& input,
               std::vector<sidecar_action>& actions);
     void take(instant now, const sidecar_input::order_answered& input, std::vector<sidecar_action>& actions);
-    void take(instant now, const sidecar_input::stop_asked& input, std::vector<sidecar_action>& actions);
+    void take(instant now, const sidecar_input::stop_requested& input, std::vector<sidecar_action>& actions);
     void take(instant now, const sidecar_input::tick& input, std::vector<sidecar_action>& actions);
 
     sidecar_core_options options_;
@@ -106,7 +110,7 @@
     attempt_tracker attempts_;
     share_coordinator shares_;
     service_dispatcher services_;
-    self_check self_check_;
+    own_lease_renewer self_check_;
     order_dispatcher orders_;
     model_id warm_up_model_;
     instant last_step_;
--- a/include/dragonflymill/serve/sidecar_messages.h
+++ b/include/dragonflymill/serve/sidecar_messages.h
@@ -37,7 +37,7 @@
     call_number call; ///< The call.
 };
 /// A sign of life of a gateway: what it holds here is renewed.
-struct gateway_heard
+struct gateway_heartbeat
 {
     process_id gateway; ///< The gateway.
 };
@@ -76,7 +76,7 @@
 /// The engine's word about itself.
 struct engine_reported
 {
-    upstream_report word;             ///< Start, cold or not, queue.
+    upstream_report status;           ///< Start, cold or not, queue.
     token_count memory_used = 0;      ///< Memory held, in tokens.
     std::vector<engine_holding> held; ///< What it holds.
     engine_view view{};               ///< Models, adapters, role and the number that fences orders.
@@ -93,28 +93,28 @@
     std::string span; ///< Its name.
 };
 /// A gateway asks for a share of a gang.
-struct share_asked
+struct share_requested
 {
     call_number call;     ///< The call.
     process_id gateway;   ///< The gateway.
     reserve_share wanted; ///< What it asks for.
 };
 /// A gateway wants to keep a share.
-struct share_renewal_asked
+struct share_renewal_requested
 {
     call_number call;   ///< The call.
     process_id gateway; ///< The gateway.
     renew_share wanted; ///< Which share.
 };
 /// A gateway gives a share back, also one that may never have been granted.
-struct share_returned
+struct share_release_requested
 {
     call_number call;   ///< The call.
     process_id gateway; ///< The gateway.
     gang_key gang;      ///< The round that it was for.
 };
 /// A gateway asks for a ticket.
-struct ticket_asked
+struct ticket_requested
 {
     call_number call;  ///< The call.
     service_spec spec; ///< Route, account and remaining time.
@@ -126,7 +126,7 @@
     service_spec spec; ///< What is asked.
 };
 /// A gateway asks what became of a call.
-struct status_asked
+struct status_requested
 {
     call_number call;  ///< The call.
     service_spec spec; ///< Route, account, ticket or key.
@@ -138,7 +138,7 @@
     once_answer answer; ///< The answer.
 };
 /// No answer of the plain service will come.
-struct service_broken
+struct service_failed
 {
     call_number call; ///< The call that ran it.
     bool sent = true; ///< Whether a byte of it may have reached the service.
@@ -168,7 +168,7 @@
     model_id warm_up_model; ///< Model of an engine's warm-up requests; empty for none.
 };
 /// The process is to stop: nothing new is taken.
-struct stop_asked
+struct stop_requested
 {
 };
 /// Time passed.
@@ -179,18 +179,17 @@
 } // namespace sidecar_input
 
 /// Everything that `sidecar_core` takes in.
-using sidecar_event =
-    std::variant<sidecar_input::attempt_opened, sidecar_input::prompt_received, sidecar_input::call_cancelled,
-                 sidecar_input::gateway_heard, sidecar_input::engine_tokens, sidecar_input::engine_finished,
-                 sidecar_input::engine_failed, sidecar_input::engine_reported,
-                 sidecar_input::cancel_confirmed, sidecar_input::span_released, sidecar_input::share_asked,
-                 sidecar_input::share_renewal_asked, sidecar_input::share_returned,
-                 sidecar_input::ticket_asked, sidecar_input::service_called, sidecar_input::status_asked,
-                 sidecar_input::service_answered, sidecar_input::service_broken, sidecar_input::drain_changed,
-                 sidecar_input::capacity_changed, sidecar_input::routes_changed, sidecar_input::listening,
-                 sidecar_input::bundle_confirmed, sidecar_input::peers_changed,
-                 sidecar_input::declared_changed, sidecar_input::sidecar_answered,
-                 sidecar_input::order_answered, sidecar_input::stop_asked, sidecar_input::tick>;
+using sidecar_event = std::variant<
+    sidecar_input::attempt_opened, sidecar_input::prompt_received, sidecar_input::call_cancelled,
+    sidecar_input::gateway_heartbeat, sidecar_input::engine_tokens, sidecar_input::engine_finished,
+    sidecar_input::engine_failed, sidecar_input::engine_reported, sidecar_input::cancel_confirmed,
+    sidecar_input::span_released, sidecar_input::share_requested, sidecar_input::share_renewal_requested,
+    sidecar_input::share_release_requested, sidecar_input::ticket_requested, sidecar_input::service_called,
+    sidecar_input::status_requested, sidecar_input::service_answered, sidecar_input::service_failed,
+    sidecar_input::drain_changed, sidecar_input::capacity_changed, sidecar_input::routes_changed,
+    sidecar_input::listening, sidecar_input::bundle_confirmed, sidecar_input::peers_changed,
+    sidecar_input::declared_changed, sidecar_input::sidecar_answered, sidecar_input::order_answered,
+    sidecar_input::stop_requested, sidecar_input::tick>;
 
 /// Outputs of `sidecar_core`.
 namespace sidecar_output {
@@ -286,13 +285,13 @@
     bool replayed = false; ///< Whether it is the remembered answer of an earlier call.
 };
 /// Give the gateway a ticket.
-struct give_ticket
+struct send_ticket
 {
     call_number call;   ///< The call.
     std::string ticket; ///< The ticket's text.
 };
 /// Tell the gateway that the call it asks about is running, or may still be submitted.
-struct tell_running
+struct report_running
 {
     call_number call; ///< The call.
 };
@@ -309,8 +308,8 @@
                  sidecar_output::start_warm_up, sidecar_output::send_tokens, sidecar_output::finish_attempt,
                  sidecar_output::cancel_stream, sidecar_output::release_span, sidecar_output::grant_share,
                  sidecar_output::refuse_share, sidecar_output::confirm_share_return,
-                 sidecar_output::run_service, sidecar_output::answer_service, sidecar_output::give_ticket,
-                 sidecar_output::tell_running, sidecar_output::ask_sidecar, sidecar_output::give_order,
+                 sidecar_output::run_service, sidecar_output::answer_service, sidecar_output::send_ticket,
+                 sidecar_output::report_running, sidecar_output::ask_sidecar, sidecar_output::send_order,
                  sidecar_output::all_done>;
 
 } // namespace dragonflymill
--- a/include/dragonflymill/serve/stream_watch.h
+++ b/include/dragonflymill/serve/stream_stall_detector.h
@@ -9,14 +9,14 @@
 
 namespace dragonflymill {
 
-/// Settings of a stream_watch.
-struct stream_watch_options
+/// Settings of a stream_stall_detector.
+struct stream_stall_options
 {
     duration floor = 2s;             ///< No silence shorter than this counts.
     double first_token_multiple = 8; ///< Multiple of the predicted first token from which a stream is silent.
     double token_multiple = 20;      ///< Multiple of the usual time between tokens, likewise.
-    double cold_multiple = 4;        ///< Stretches both while the engine calls itself cold.
-    duration own_pause = 1s;         ///< A gap between two calls that tells this process was paused.
+    double cold_factor = 4;          ///< Stretches both while the engine calls itself cold.
+    duration pause_threshold = 1s;   ///< A gap between two calls that tells this process was paused.
 };
 
 /// Tells streams at the engine that make no progress from those that wait their turn.
@@ -26,11 +26,11 @@
 /// first token can't take longer than the engine needs for all that was ahead of it and all that was put to
 /// it since, at the speed of the first-token line: each prompt counts whole, whatever a cache may spare. A
 /// pause of this process doesn't count: what the engine sent meanwhile is still unread.
-class stream_watch
+class stream_stall_detector
 {
 public:
     /// Watches nothing yet.
-    explicit stream_watch(stream_watch_options options);
+    explicit stream_stall_detector(stream_stall_options options);
 
     /// A stream with a prompt of so many tokens is put to the engine.
     void began(instant now, call_number call, token_count prompt);
@@ -54,11 +54,11 @@
         bool decoding = false;
     };
 
-    void notice_own_pause(instant now);
+    void account_for_process_pause(instant now);
     [[nodiscard]] auto bound(const watched& stream, const std::optional<first_token_line>& line) const
         -> std::optional<duration>;
 
-    stream_watch_options options_;
+    stream_stall_options options_;
     std::map<call_number, watched> streams_;
     std::optional<instant> last_call_;
     duration usual_gap_{0};
--- a/include/dragonflymill/stream/stream_joiner.h
+++ b/include/dragonflymill/stream/stream_joiner.h
@@ -136,7 +136,7 @@
     [[nodiscard]] auto wake(instant now) -> std::vector<stream_output>;
     /// Goes over to a new try, as the running one was ended for no fault of its own: it doesn't count against
     /// `max_attempts`, and what still comes of it is dropped.
-    void change_attempt();
+    void switch_attempt();
     /// Ends the stream with a failure: the time limit ran out, the caller left, or no resume is allowed.
     [[nodiscard]] auto give_up(refusal why) -> std::vector<stream_output>;
 
--- a/src/admission/first_token_model.cpp
+++ b/src/admission/first_token_model.cpp
@@ -76,7 +76,7 @@
     }
     const double predicted = predicted_us(prefill);
     const double measured = us_of(elapsed - options_.slack);
-    if (measured > predicted * options_.cold_multiple * leniency) {
+    if (measured > predicted * options_.cold_factor * leniency) {
         return first_token_verdict::cold;
     }
     return measured > predicted * options_.warm_multiple ? first_token_verdict::slow
@@ -94,7 +94,7 @@
     if (!trusted()) {
         return std::nullopt;
     }
-    const double limit = predicted_us(prefill) * options_.cold_multiple * leniency;
+    const double limit = predicted_us(prefill) * options_.cold_factor * leniency;
     return options_.slack + duration(static_cast<duration::rep>(limit));
 }
 
--- a/src/admission/permit_controller.cpp
+++ b/src/admission/permit_controller.cpp
@@ -41,7 +41,7 @@
 {
 }
 
-auto permit_controller::ask(instant now, const permit_ask& request) -> permit_answer
+auto permit_controller::ask(instant now, const permit_request& request) -> permit_result
 {
     DRAGONFLYMILL_ASSERT(request.cost > 0, "work has a cost");
     advance(now);
@@ -68,7 +68,7 @@
     return granted;
 }
 
-auto permit_controller::grant(instant now, const permit_ask& request) -> permit
+auto permit_controller::grant(instant now, const permit_request& request) -> permit
 {
     const lease_id lease(next_lease_++);
     outstanding_ += request.cost;
@@ -240,7 +240,7 @@
 {
     // Guarded failure: this process was paused, and the renewals that its holders sent meanwhile are still in
     // its sockets. Ending every lease on wake-up would cut off healthy streams, so the pause doesn't count.
-    if (last_call_ && now - *last_call_ > options_.own_pause) {
+    if (last_call_ && now - *last_call_ > options_.pause_threshold) {
         const duration gap = now - *last_call_;
         for (auto& [lease, held] : permits_) {
             if (held.began && !held.orphaned) {
@@ -263,7 +263,7 @@
         }
         ends_.erase(ends_.begin());
         found->second.orphaned = true;
-        ended_.push_back({found->first, found->second.request.asker, permit_end::not_renewed, true});
+        ended_.push_back({found->first, found->second.request.gateway, permit_end::not_renewed, true});
     }
 }
 
@@ -297,7 +297,7 @@
 
 void permit_controller::end(entries::iterator held, permit_end why)
 {
-    ended_.push_back({held->first, held->second.request.asker, why, held->second.began.has_value()});
+    ended_.push_back({held->first, held->second.request.gateway, why, held->second.began.has_value()});
     remove(held);
 }
 
@@ -313,7 +313,7 @@
 
 void permit_controller::remove(entries::iterator held)
 {
-    const permit_ask& request = held->second.request;
+    const permit_request& request = held->second.request;
     outstanding_ -= request.cost;
     outstanding_by_class_[index_of(request.size_class)] -= request.cost;
     DRAGONFLYMILL_ASSERT(outstanding_ >= 0, "what is given back was granted");
@@ -347,11 +347,11 @@
     return room;
 }
 
-auto permit_controller::refuse(instant now, const permit_ask& request, refusal_code code) -> refusal
+auto permit_controller::refuse(instant now, const permit_request& request, refusal_code code) -> refusal
 {
     // Nothing has left for the upstream and this answer carries no permit, so `no` is certain.
     const bool hopeless = code == refusal_code::too_large;
-    const duration after = hopeless ? duration::zero() : retry_after(now, request.asker);
+    const duration after = hopeless ? duration::zero() : retry_after(now, request.gateway);
     return {code, ran_state::no, after, remedy_of(code)};
 }
 
--- a/src/bundle/bundle_codec.cpp
+++ b/src/bundle/bundle_codec.cpp
@@ -118,7 +118,7 @@
     text += line("tokens", rate_text(entry.tokens_per_second));
     text += line("max_in_flight", entry.max_in_flight);
     text += line("weight", entry.weight);
-    text += line("priority", priority_text(entry.standing));
+    text += line("priority", priority_text(entry.request_priority));
     return text;
 }
 
--- a/src/bundle/bundle_source.cpp
+++ b/src/bundle/bundle_source.cpp
@@ -126,7 +126,7 @@
     reader.value("tokens", parse_rate, entry.tokens_per_second);
     reader.value("max_in_flight", parse_small_count, entry.max_in_flight);
     reader.value("weight", parse_small_count, entry.weight, false);
-    reader.value("priority", parse_priority, entry.standing, false);
+    reader.value("priority", parse_priority, entry.request_priority, false);
     value.accounts.push_back(std::move(entry));
 }
 
--- a/src/direct/dispatch_policy.cpp
+++ b/src/direct/dispatch_policy.cpp
@@ -23,12 +23,12 @@
     -> dispatch_decision
 {
     const auto rank = [&](const dispatch_candidate& upstream) {
-        return std::tuple(upstream.suspect, in_hand(upstream), is_far(call, upstream),
+        return std::tuple(upstream.suspect, in_flight(upstream), is_far(call, upstream),
                           mix_bits(upstream.place ^ call.spread));
     };
     const dispatch_candidate* best = nullptr;
     for (const dispatch_candidate& upstream : candidates) {
-        if (in_hand(upstream) < upstream.slots && (best == nullptr || rank(upstream) < rank(*best))) {
+        if (in_flight(upstream) < upstream.slots && (best == nullptr || rank(upstream) < rank(*best))) {
             best = &upstream;
         }
     }
@@ -90,7 +90,7 @@
                                    std::size_t boundary) const -> dispatch_decision
 {
     const auto rank = [&](const dispatch_candidate& engine) {
-        return std::tuple(engine.load.reading / 25ms, in_hand(engine) / 2, is_far(call, engine),
+        return std::tuple(engine.load.reading / 25ms, in_flight(engine) / 2, is_far(call, engine),
                           mix_bits(engine.place ^ call.spread));
     };
     const dispatch_candidate* best = nullptr;
@@ -123,7 +123,7 @@
         choice.first_token = plan.first_token();
         choice.helpers = std::move(plan.helpers);
     }
-    choice.first_token += forecast_.pass(in_hand(*best), call.prompt_tokens);
+    choice.first_token += forecast_.pass(in_flight(*best), call.prompt_tokens);
     choice.reason = inside ? "short partition" : "short partition full";
     return {std::move(choice)};
 }
--- a/src/direct/reading_plan.cpp
+++ b/src/direct/reading_plan.cpp
@@ -310,13 +310,13 @@
 
 auto reading_planner::able_of(const dispatch_candidate& engine) const -> able_reader
 {
-    const duration disturbed = in_hand(engine) > 0 ? writer_penalty : duration::zero();
+    const duration disturbed = in_flight(engine) > 0 ? writer_penalty : duration::zero();
     able_reader reader;
     reader.engine = &engine;
     reader.backlog_steps = (engine.load.reading + disturbed) / backlog_step;
     reader.spread = mix_bits(engine.place ^ call_.spread);
     if (engine.load.tightest_pause > duration::zero()) {
-        const int writers = std::max(in_hand(engine), 1);
+        const int writers = std::max(in_flight(engine), 1);
         const double streams = writers + static_cast<double>(engine.load.memory_tokens) / tokens_per_worth;
         reader.before = engine.load.reading + forecast_.pass(writers, engine.load.memory_tokens / writers);
         reader.streams_cost = streams * (1.0 - late_worth);
--- a/src/gang/gang_planner.cpp
+++ b/src/gang/gang_planner.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-gang_planner::gang_planner(std::uint64_t seed, gang_settings settings)
+gang_planner::gang_planner(std::uint64_t seed, gang_planner_options settings)
     : settings_(settings)
     , random_(seed)
 {
@@ -37,7 +37,7 @@
         return out;
     }
     if (gangs_.size() >= settings_.max_gangs || releases_.size() >= settings_.max_releases) {
-        const refusal why{refusal_code::overloaded, ran_state::no, settings_.longest_backoff,
+        const refusal why{refusal_code::overloaded, ran_state::no, settings_.max_backoff,
                           "send it again after the time given"};
         out.emplace_back(gang_failed{key, why});
         return out;
@@ -311,7 +311,7 @@
 void gang_planner::lost(instant now, gang& each, outputs& out)
 {
     fail(now, each,
-         {refusal_code::upstream_gone, ran_state::unknown, settings_.first_backoff,
+         {refusal_code::upstream_gone, ran_state::unknown, settings_.initial_backoff,
           "the request can be resumed"},
          out);
 }
@@ -402,9 +402,9 @@
 auto gang_planner::backoff(const gang& each) -> duration
 {
     const std::uint64_t doublings = std::min(each.failures - 1, most_doublings);
-    const auto longest = static_cast<double>(settings_.longest_backoff.count());
+    const auto longest = static_cast<double>(settings_.max_backoff.count());
     const double grown =
-        static_cast<double>(settings_.first_backoff.count()) * static_cast<double>(1ULL << doublings);
+        static_cast<double>(settings_.initial_backoff.count()) * static_cast<double>(1ULL << doublings);
     // A random half keeps planners that refused each other from meeting again.
     return duration(static_cast<duration::rep>(std::min(grown, longest) * (0.5 + 0.5 * random_.unit())));
 }
--- a/src/gateway/attempt_call.cpp
+++ b/src/gateway/attempt_call.cpp
@@ -124,7 +124,7 @@
 void attempt_call::pass_on(const wire::attempt_event& event)
 {
     if (event.has_load()) {
-        sink_(gateway_event(gateway_input::load_heard{who_.upstream, rpc::from_wire(event.load())}));
+        sink_(gateway_event(gateway_input::load_reported{who_.upstream, rpc::from_wire(event.load())}));
     }
     {
         const std::lock_guard lock(mutex_);
--- a/src/gateway/caller_admission.cpp
+++ b/src/gateway/caller_admission.cpp
@@ -78,15 +78,15 @@
     return {behind.substr(0, end), std::move(rest)};
 }
 
-auto wish_of(const std::string& method, const std::string& rest) -> service_wish
+auto wish_of(const std::string& method, const std::string& rest) -> service_operation
 {
     if (method == "POST" && rest == "/tickets") {
-        return service_wish::ticket;
+        return service_operation::ticket;
     }
     if (method == "GET" && rest == "/status") {
-        return service_wish::status;
+        return service_operation::status;
     }
-    return service_wish::run;
+    return service_operation::run;
 }
 
 } // namespace
@@ -227,7 +227,7 @@
     event.account = account.id;
     event.model = model_id(asked.model);
     event.adapter = adapter_id(asked.adapter);
-    event.standing = asked.standing.value_or(account.standing);
+    event.request_priority = asked.request_priority.value_or(account.request_priority);
     event.prompt_tokens = estimate_tokens(asked.prompt.size());
     event.max_tokens = asked.max_tokens;
     event.blocks = prompt_blocks(asked.prompt, block_bytes);
@@ -254,7 +254,7 @@
     }
     gateway_input::service_arrived event;
     event.exchange = number_of(*session);
-    event.wish = wish_of(request.method, path.rest);
+    event.operation = wish_of(request.method, path.rest);
     event.spec.request = id;
     event.spec.route = route->id;
     event.spec.account = account.id;
@@ -273,7 +273,7 @@
         return;
     }
     const bool named = !event.spec.ticket.empty() || !event.spec.idempotency_key.empty();
-    if (event.wish == service_wish::status && !named) {
+    if (event.operation == service_operation::status && !named) {
         session->respond(session->exchange(),
                          rejection(id, 400, "invalid_request",
                                    "name the call with Dragonflymill-Ticket or Idempotency-Key"));
--- a/src/gateway/completion_request.cpp
+++ b/src/gateway/completion_request.cpp
@@ -144,13 +144,13 @@
     void take_priority(std::string_view text)
     {
         if (text == "doorstep") {
-            request.standing = priority::doorstep;
+            request.request_priority = priority::doorstep;
         }
         else if (text == "standard") {
-            request.standing = priority::standard;
+            request.request_priority = priority::standard;
         }
         else if (text == "overnight") {
-            request.standing = priority::overnight;
+            request.request_priority = priority::overnight;
         }
         else {
             mistakes += "priority must be \"doorstep\", \"standard\" or \"overnight\"; ";
--- a/src/gateway/completion_request.h
+++ b/src/gateway/completion_request.h
@@ -11,13 +11,13 @@
 /// The body of `POST /v1/completions`.
 struct completion_request
 {
-    std::string model;                  ///< Model asked for.
-    std::string adapter;                ///< Adapter asked for; empty for none.
-    std::string prompt;                 ///< The prompt.
-    token_count max_tokens = 16;        ///< Most tokens of the answer.
-    bool stream = false;                ///< Whether the answer is to come as server-sent events.
-    std::optional<priority> standing;   ///< Priority; the account's own if missing.
-    std::optional<duration> time_limit; ///< Time limit; the gateway's longest if missing.
+    std::string model;                        ///< Model asked for.
+    std::string adapter;                      ///< Adapter asked for; empty for none.
+    std::string prompt;                       ///< The prompt.
+    token_count max_tokens = 16;              ///< Most tokens of the answer.
+    bool stream = false;                      ///< Whether the answer is to come as server-sent events.
+    std::optional<priority> request_priority; ///< Priority; the account's own if missing.
+    std::optional<duration> time_limit;       ///< Time limit; the gateway's longest if missing.
 
     friend auto operator==(const completion_request&, const completion_request&) -> bool = default;
 };
--- a/src/gateway/gateway_daemon.cpp
+++ b/src/gateway/gateway_daemon.cpp
@@ -51,7 +51,7 @@
         , timeline_(std::move(timeline))
         , shell_(settings, std::move(ticket_key), timeline_, metrics_,
                  {[this] { boost::asio::post(context_, [this] { on_all_done(); }); },
-                  [this](const ask_shares& asked) { ask_for_shares(asked); }})
+                  [this](const ask_shares& asked) { request_account_shares(asked); }})
         , gate_(
               {settings.process.name,
                static_cast<std::uint64_t>(runtime::wall_now().time_since_epoch().count()),
@@ -72,7 +72,7 @@
 private:
     [[nodiscard]] auto open_control() -> result<void>;
     void on_snapshot(const control::control_snapshot& snapshot);
-    void ask_for_shares(const ask_shares& asked);
+    void request_account_shares(const ask_shares& asked);
     void on_stop_signal();
     void stop_accepting();
     void on_all_done();
@@ -103,7 +103,7 @@
     // A gateway that finds a later start of itself has been replaced: it finishes what it has and ends.
     handlers.on_superseded = [this] { boost::asio::post(context_, [this] { on_stop_signal(); }); };
     handlers.on_shares_asked = [this](const std::vector<share_request>& requests) {
-        return shell_.shares_asked(requests);
+        return shell_.grant_shares(requests);
     };
     auto opened = control::daemon_control::open(
         {process_role::gateway, settings_.process, settings_.bundle, settings_.control}, std::move(handlers));
@@ -129,7 +129,7 @@
     gate_.adopt(snapshot.in_force);
 }
 
-void gateway_daemon::ask_for_shares(const ask_shares& asked)
+void gateway_daemon::request_account_shares(const ask_shares& asked)
 {
     control_->request_shares(asked, [this, at = asked.asked](std::vector<share_grant> grants) {
         shell_.shares_granted(std::move(grants), at);
--- a/src/gateway/gateway_server.cpp
+++ b/src/gateway/gateway_server.cpp
@@ -108,7 +108,7 @@
         gateway_input::gateways_changed{control::live_gateways(snapshot, self), snapshot.gateways_expected}));
 }
 
-auto gateway_server::shares_asked(const std::vector<share_request>& requests) -> std::vector<share_grant>
+auto gateway_server::grant_shares(const std::vector<share_request>& requests) -> std::vector<share_grant>
 {
     const auto answer = std::make_shared<std::promise<std::vector<share_grant>>>();
     auto future = answer->get_future();
@@ -136,7 +136,7 @@
 
 void gateway_server::stop()
 {
-    post(gateway_event(gateway_input::stop_asked{}));
+    post(gateway_event(gateway_input::stop_requested{}));
 }
 
 void gateway_server::join()
@@ -164,7 +164,7 @@
             carry_out(core_.step(now, made->event));
         }
         else if (const auto* question = std::get_if<share_question>(&*event)) {
-            question->answer->set_value(core_.shares_asked(now, question->requests));
+            question->answer->set_value(core_.grant_shares(now, question->requests));
         }
         else {
             handle_link(std::move(std::get<link_event>(*event)));
@@ -185,7 +185,7 @@
         if (link != links_.end()) {
             link->second->heard(now);
         }
-        carry_out(core_.step(now, gateway_input::load_heard{answer->upstream, answer->load}));
+        carry_out(core_.step(now, gateway_input::load_reported{answer->upstream, answer->load}));
         return;
     }
     const auto& input = std::get<gateway_event>(event);
@@ -272,7 +272,7 @@
     status.process = self_;
     status.role = "gateway";
     status.version = app::version_text();
-    status.in_flight = core_.in_hand();
+    status.in_flight = core_.in_flight();
     for (const auto& record : core_.table().records()) {
         status.upstreams.push_back(
             {record.description().id, state_text(record), record.own_in_flight(), record.load().allowed});
@@ -360,7 +360,7 @@
     timeline_.record(action.spec.request, known ? "service_call" : "service_unreachable",
                      action.upstream.text());
     if (known) {
-        link->second->call_service(runtime::now(), action.key, action.wish, action.spec);
+        link->second->call_service(runtime::now(), action.key, action.operation, action.spec);
     }
     else {
         follow_up(not_sent(action.key));
@@ -454,7 +454,7 @@
     }
 }
 
-void gateway_server::act(const gateway_output::tell_running& action)
+void gateway_server::act(const gateway_output::report_running& action)
 {
     const auto found = exchanges_.find(action.exchange);
     if (found != exchanges_.end()) {
@@ -505,9 +505,9 @@
     }
 }
 
-void gateway_server::act(const gateway_output::ask_for_shares& action)
+void gateway_server::act(const gateway_output::request_account_shares& action)
 {
-    handlers_.ask_for_shares(action.asked);
+    handlers_.request_account_shares(action.asked);
 }
 
 void gateway_server::act(const gateway_output::probe_load& action)
@@ -518,7 +518,7 @@
     }
 }
 
-void gateway_server::act(const gateway_output::note_paused& action)
+void gateway_server::act(const gateway_output::log_paused& action)
 {
     const auto found = exchanges_.find(action.exchange);
     if (found != exchanges_.end()) {
@@ -528,7 +528,7 @@
     }
 }
 
-void gateway_server::act(const gateway_output::note_resumed& action)
+void gateway_server::act(const gateway_output::log_resumed& action)
 {
     const auto found = exchanges_.find(action.exchange);
     if (found != exchanges_.end()) {
--- a/src/gateway/gateway_server.h
+++ b/src/gateway/gateway_server.h
@@ -27,8 +27,8 @@
 /// What a gateway_server needs of the daemon around it; called on the deciding thread.
 struct gateway_server_handlers
 {
-    std::function<void()> on_all_done;                     ///< A planned stop is finished.
-    std::function<void(const ask_shares&)> ask_for_shares; ///< Ask the home of accounts for shares.
+    std::function<void()> on_all_done;                             ///< A planned stop is finished.
+    std::function<void(const ask_shares&)> request_account_shares; ///< Ask the home of accounts for shares.
 };
 
 /// The thread that decides, and the hands that carry out what it decides.
@@ -45,7 +45,7 @@
     void adopt(const control::control_snapshot& snapshot);
     /// Another gateway asks for shares of accounts whose home this is; waits for the deciding thread, but not
     /// long.
-    [[nodiscard]] auto shares_asked(const std::vector<share_request>& requests) -> std::vector<share_grant>;
+    [[nodiscard]] auto grant_shares(const std::vector<share_request>& requests) -> std::vector<share_grant>;
     /// The home of some accounts granted shares that were asked for at `asked`.
     void shares_granted(std::vector<share_grant> grants, instant asked);
     /// A caller's request; false if there is no room for it.
@@ -95,15 +95,15 @@
     void act(const gateway_output::refuse& action);
     void act(const gateway_output::answer_service& action);
     void act(const gateway_output::give_ticket& action);
-    void act(const gateway_output::tell_running& action);
+    void act(const gateway_output::report_running& action);
     void act(const reserve_share& action);
     void act(const renew_share& action);
     void act(const release_share& action);
     void act(const gateway_output::connect_upstreams& action);
-    void act(const gateway_output::ask_for_shares& action);
+    void act(const gateway_output::request_account_shares& action);
     void act(const gateway_output::probe_load& action);
-    void act(const gateway_output::note_paused& action);
-    void act(const gateway_output::note_resumed& action);
+    void act(const gateway_output::log_paused& action);
+    void act(const gateway_output::log_resumed& action);
     void act(const gateway_output::all_done& action);
 
     template <typename Wanted>
@@ -113,7 +113,7 @@
     void count_first_token(const exchange& held);
 
     process_id self_;
-    heartbeat_times heartbeat_;
+    heartbeat_options heartbeat_;
     timeline_recorder& timeline_;
     metrics_registry& metrics_;
     gateway_server_handlers handlers_;
--- a/src/gateway/lane_connection.cpp
+++ b/src/gateway/lane_connection.cpp
@@ -141,7 +141,8 @@
     }
 }
 
-void lane_connection::call_service(const attempt_key& key, service_wish wish, const service_spec& spec)
+void lane_connection::call_service(const attempt_key& key, service_operation operation,
+                                   const service_spec& spec)
 {
     const auto deadline = std::chrono::system_clock::now() + spec.remaining + deadline_slack;
     ++*service_calls_;
@@ -158,7 +159,7 @@
         --*left;
         calls.end(context);
     };
-    if (wish == service_wish::ticket) {
+    if (operation == service_operation::ticket) {
         const auto pending = std::make_shared<pending_reply<wire::ticket_reply>>();
         begin(pending);
         stub_->async()->issue_ticket(&pending->context, &pending->request, &pending->reply,
@@ -174,7 +175,7 @@
         sink(service_event(key, status, pending->reply));
         end(status, pending->context);
     };
-    if (wish == service_wish::status) {
+    if (operation == service_operation::status) {
         stub_->async()->call_status(&pending->context, &pending->request, &pending->reply, done);
     }
     else {
@@ -195,7 +196,7 @@
             &calls = calls_](const grpc::Status& status) {
                const auto& reply = pending->reply;
                if (status.ok() && reply.has_load()) {
-                   sink(gateway_event(gateway_input::load_heard{upstream, rpc::from_wire(reply.load())}));
+                   sink(gateway_event(gateway_input::load_reported{upstream, rpc::from_wire(reply.load())}));
                }
                // A call that breaks says nothing: the planner asks again, or gives the share back.
                if (status.ok()) {
--- a/src/gateway/lane_connection.h
+++ b/src/gateway/lane_connection.h
@@ -31,7 +31,7 @@
     /// Ends a try.
     void cancel_attempt(const attempt_key& key);
     /// Calls the plain service.
-    void call_service(const attempt_key& key, service_wish wish, const service_spec& spec);
+    void call_service(const attempt_key& key, service_operation operation, const service_spec& spec);
     /// Asks for, renews or gives back a share. Nothing comes back if the call breaks: the planner asks again.
     void call_share(const reserve_share& wanted);
     /// Renews a share.
--- a/src/gateway/sidecar_link.cpp
+++ b/src/gateway/sidecar_link.cpp
@@ -5,7 +5,7 @@
 namespace dragonflymill::gateway {
 
 sidecar_link::sidecar_link(instant now, const upstream_entry& upstream, process_id self,
-                           heartbeat_times times, link_sink sink, rpc::call_tracker& calls)
+                           heartbeat_options times, link_sink sink, rpc::call_tracker& calls)
     : upstream_(upstream.id)
     , address_(upstream.sidecar_address)
     , self_(std::move(self))
@@ -37,7 +37,7 @@
 {
     auto& connection = lane(now, spec.size);
     connection.open_attempt(key, spec, std::move(prompt));
-    schedule_.work(now, spec.size, connection.work(), true);
+    schedule_.set_in_flight(now, spec.size, connection.work(), true);
 }
 
 void sidecar_link::send_prompt(length_class size, const attempt_key& key)
@@ -54,14 +54,14 @@
     }
 }
 
-void sidecar_link::call_service(instant now, const attempt_key& key, service_wish wish,
+void sidecar_link::call_service(instant now, const attempt_key& key, service_operation operation,
                                 const service_spec& spec)
 {
-    held_.push_back({key, wish, spec, now});
+    held_.push_back({key, operation, spec, now});
     take_pulses(now);
     send_held(now);
     if (!held_.empty()) {
-        schedule_.check(now, length_class::interactive);
+        schedule_.request_heartbeat(now, length_class::interactive);
     }
 }
 
@@ -79,11 +79,11 @@
             continue;
         }
         if (const auto at = held->newly_heard()) {
-            schedule_.heard(*at, size);
+            schedule_.received(*at, size);
         }
-        schedule_.work(now, size, held->work());
+        schedule_.set_in_flight(now, size, held->work());
         if (held->newly_broken()) {
-            schedule_.broke(now, size);
+            schedule_.disconnected(now, size);
             if (size != length_class::interactive) {
                 held.reset();
             }
@@ -96,14 +96,14 @@
     // A call whose connection breaks after it was sent is `unknown` for ever; on a connection that showed
     // life a moment ago that is rare, and on any other it is not sent at all, so that "not run" is the truth.
     auto& connection = *lanes_[index_of(length_class::interactive)];
-    if (held_.empty() || !schedule_.proven(now, length_class::interactive) || !connection.ready()) {
+    if (held_.empty() || !schedule_.recently_alive(now, length_class::interactive) || !connection.ready()) {
         return;
     }
     for (auto& call : std::exchange(held_, {})) {
         call.spec.remaining -= now - call.since;
-        connection.call_service(call.key, call.wish, call.spec);
+        connection.call_service(call.key, call.operation, call.spec);
     }
-    schedule_.work(now, length_class::interactive, connection.work());
+    schedule_.set_in_flight(now, length_class::interactive, connection.work());
 }
 
 auto sidecar_link::drop_held(instant now) -> std::vector<attempt_key>
@@ -111,7 +111,7 @@
     std::vector<attempt_key> out;
     std::erase_if(held_, [&](const held_call& call) {
         const auto waited = now - call.since;
-        const bool late = waited > times_.patience() || waited >= call.spec.remaining;
+        const bool late = waited > times_.silence_timeout() || waited >= call.spec.remaining;
         if (late) {
             out.push_back(call.key);
         }
--- a/src/gateway/sidecar_link.h
+++ b/src/gateway/sidecar_link.h
@@ -26,7 +26,7 @@
 {
 public:
     /// Connects to the sidecar of `upstream`.
-    sidecar_link(instant now, const upstream_entry& upstream, process_id self, heartbeat_times times,
+    sidecar_link(instant now, const upstream_entry& upstream, process_id self, heartbeat_options times,
                  link_sink sink, rpc::call_tracker& calls);
 
     /// Address that it connects to.
@@ -36,17 +36,18 @@
                       std::shared_ptr<const std::string> prompt);
     /// Calls the plain service, once the connection is proven alive; if that takes too long, nothing is sent
     /// and `tick` says so.
-    void call_service(instant now, const attempt_key& key, service_wish wish, const service_spec& spec);
+    void call_service(instant now, const attempt_key& key, service_operation operation,
+                      const service_spec& spec);
     /// Asks for, renews or gives back a share.
     template <typename Wanted>
     void call_share(instant now, const Wanted& wanted)
     {
         auto& connection = lane(now, length_class::interactive);
         connection.call_share(wanted);
-        schedule_.work(now, length_class::interactive, connection.work());
+        schedule_.set_in_flight(now, length_class::interactive, connection.work());
     }
     /// Asks for a heartbeat, whose answer brings the upstream's load.
-    void probe(instant now) { schedule_.check(now, length_class::interactive); }
+    void probe(instant now) { schedule_.request_heartbeat(now, length_class::interactive); }
     /// Hands a try's prompt or cancel to the connection it was opened on.
     void send_prompt(length_class size, const attempt_key& key);
     /// Ends a try.
@@ -62,7 +63,7 @@
     struct held_call
     {
         attempt_key key;
-        service_wish wish = service_wish::run;
+        service_operation operation = service_operation::run;
         service_spec spec;
         instant since;
     };
@@ -76,7 +77,7 @@
     upstream_id upstream_;
     std::string address_;
     process_id self_;
-    heartbeat_times times_;
+    heartbeat_options times_;
     link_sink sink_;
     rpc::call_tracker& calls_;
     std::array<std::unique_ptr<lane_connection>, length_class_count> lanes_;
--- a/src/lease/lease_table.cpp
+++ b/src/lease/lease_table.cpp
@@ -227,7 +227,7 @@
 void lease_table::excuse_own_pause(instant now)
 {
     // Guarded failure: this process was paused, and the renewals sent meanwhile still wait in its sockets.
-    const bool paused = last_call_ && now - *last_call_ > options_.own_pause;
+    const bool paused = last_call_ && now - *last_call_ > options_.pause_threshold;
     const duration gap = paused ? now - *last_call_ : duration::zero();
     last_call_ = now;
     for (auto held = leases_.begin(); paused && held != leases_.end(); ++held) {
--- a/src/once/key_home.cpp
+++ b/src/once/key_home.cpp
@@ -7,7 +7,7 @@
 
 namespace dragonflymill {
 
-auto home_key(const route_id& route, const client_account_id& account, std::string_view key) -> std::uint64_t
+auto home_hash(const route_id& route, const client_account_id& account, std::string_view key) -> std::uint64_t
 {
     return digest_of({account.text(), route.text(), key}).high;
 }
@@ -62,7 +62,7 @@
     }
 }
 
-auto key_home::home_here(const route_id& route, std::uint64_t key) const -> bool
+auto key_home::is_home(const route_id& route, std::uint64_t key) const -> bool
 {
     const auto found = routes_.find(route);
     return found != routes_.end() && home_of(key, found->second.configured) == options_.self;
--- a/src/once/once_ledger.cpp
+++ b/src/once/once_ledger.cpp
@@ -162,7 +162,7 @@
     if (found != keys_.end()) {
         return {found->second, settled_of(found->second, calls_.at(found->second), call)};
     }
-    if (!name.home_here) {
+    if (!name.is_home) {
         return {std::nullopt, once_unknown{unknown_reason::not_home}};
     }
     if (!may_run_keys(now)) {
@@ -211,7 +211,8 @@
         const bool still_remembered = *made > wall_now + options_.clock_skew - owner.remember_for;
         return still_remembered && *made > wall_since + options_.clock_skew;
     }
-    // Awake time, as in notice_own_pause(): a retry may have waited in a socket for as long as the pause.
+    // Awake time, as in account_for_process_pause(): a retry may have waited in a socket for as long as the
+    // pause.
     return awake(now) > since + owner.remember_for;
 }
 
@@ -341,11 +342,11 @@
     set_due(serial, held, awake(now) + held.remember_for);
 }
 
-void once_ledger::notice_own_pause(instant now)
+void once_ledger::account_for_process_pause(instant now)
 {
     // Guarded failure: this process was paused until outcomes were over, and then finds a retry in its
     // sockets that was sent in time: the key would pass for new and run again, or be said to be not run.
-    if (last_call_ && now - *last_call_ > options_.own_pause) {
+    if (last_call_ && now - *last_call_ > options_.pause_threshold) {
         paused_ += now - *last_call_;
     }
     last_call_ = now;
@@ -353,7 +354,7 @@
 
 void once_ledger::tick(instant now)
 {
-    notice_own_pause(now);
+    account_for_process_pause(now);
     while (!due_.empty() && due_.top().first <= awake(now)) {
         const auto [due, serial] = due_.top();
         due_.pop();
--- a/src/order/order_tracker.cpp
+++ b/src/order/order_tracker.cpp
@@ -83,7 +83,7 @@
     fence_ = std::max(fence_, fence_of(wanted_->version, options_.start_seconds));
 }
 
-void order_tracker::engine_read(const engine_view& view)
+void order_tracker::engine_state_received(const engine_view& view)
 {
     if (view_ && view.asked < view_->asked) {
         return;
@@ -142,7 +142,7 @@
     if (guard_holds(guard::fencing) && !holds_own_lease(now)) {
         return order_wait::no_own_lease;
     }
-    if (on_its_way_ && now - sent_ < options_.answer_limit) {
+    if (on_its_way_ && now - sent_ < options_.answer_timeout) {
         return order_wait::answer;
     }
     if (on_its_way_) {
@@ -268,7 +268,7 @@
         return;
     }
     on_its_way_.reset();
-    believe_from_ = now + options_.reread_after;
+    believe_from_ = now + options_.reread_delay;
     load_turn_.reset();
     if (how == order_result::done) {
         failures_ = 0;
--- a/src/overload/shed_classes.cpp
+++ b/src/overload/shed_class_stats.cpp
@@ -1,4 +1,4 @@
-#include "dragonflymill/overload/shed_classes.h"
+#include "dragonflymill/overload/shed_class_stats.h"
 
 #include <algorithm>
 #include <cmath>
@@ -18,7 +18,7 @@
     return (index_of(priority) * length_class_count + index_of(size)) * 2 + (over_share ? 1 : 0);
 }
 
-void shed_classes::offered(instant now, std::size_t shed_class, duration cost)
+void shed_class_stats::offered(instant now, std::size_t shed_class, duration cost)
 {
     const double fade = std::exp2(-static_cast<double>((now - faded_at_).count()) / half_life);
     for (auto& each : tallies_) {
@@ -30,14 +30,14 @@
     tallies_[shed_class].count += 1.0;
 }
 
-void shed_classes::ended(std::size_t shed_class, bool in_time)
+void shed_class_stats::ended(std::size_t shed_class, bool in_time)
 {
     double& part = tallies_[shed_class].in_time;
     part += outcome_weight * ((in_time ? 1.0 : 0.0) - part);
 }
 
-auto shed_classes::parts_to_refuse(const std::array<double, shed_class_count>& rank, double excess,
-                                   double most) const -> std::array<double, shed_class_count>
+auto shed_class_stats::parts_to_refuse(const std::array<double, shed_class_count>& rank, double excess,
+                                       double most) const -> std::array<double, shed_class_count>
 {
     std::array<std::size_t, shed_class_count> order{};
     std::iota(order.begin(), order.end(), std::size_t{0});
--- a/src/retry/retry_rules.cpp
+++ b/src/retry/retry_rules.cpp
@@ -47,7 +47,7 @@
     const bool running_stream = attempt.kind == call_kind::stream && attempt.ran == ran_state::unknown;
     retry_budget& budget = running_stream ? resumes_ : retries_;
     if (!budget.take()) {
-        return final_answer(attempt, std::max(wait, settings_.longest_backoff));
+        return final_answer(attempt, std::max(wait, settings_.max_backoff));
     }
     return retry_at{now + wait};
 }
@@ -69,9 +69,9 @@
     }
     const std::uint64_t doublings =
         std::min(std::max<std::uint64_t>(attempt.attempts, 1) - 1, most_doublings);
-    const auto longest = static_cast<double>(settings_.longest_backoff.count());
+    const auto longest = static_cast<double>(settings_.max_backoff.count());
     const double grown =
-        static_cast<double>(settings_.first_backoff.count()) * static_cast<double>(1ULL << doublings);
+        static_cast<double>(settings_.initial_backoff.count()) * static_cast<double>(1ULL << doublings);
     // A random half of the wait keeps calls that failed together from coming back together.
     const double spread = std::min(grown, longest) * (0.5 + 0.5 * random_.unit());
     return std::max(attempt.retry_after, duration(static_cast<duration::rep>(spread)));
@@ -79,7 +79,7 @@
 
 auto retry_rules::final_answer(const failed_attempt& attempt, duration wait) const -> refusal
 {
-    const duration asked = std::max({attempt.retry_after, wait, settings_.first_backoff});
+    const duration asked = std::max({attempt.retry_after, wait, settings_.initial_backoff});
     const bool can_help = is_passing(attempt.code);
     return {attempt.code, attempt.ran, can_help ? asked : duration::zero(), remedy_for(attempt)};
 }
--- a/src/rpc/wire_convert.cpp
+++ b/src/rpc/wire_convert.cpp
@@ -37,7 +37,7 @@
     open.set_adapter(spec.adapter.text());
     open.set_client_account(spec.account.text());
     open.set_length_class(static_cast<std::uint32_t>(spec.size));
-    open.set_priority(static_cast<std::uint32_t>(spec.standing));
+    open.set_priority(static_cast<std::uint32_t>(spec.request_priority));
     open.set_prompt_tokens(spec.prompt_tokens);
     open.set_max_tokens(spec.max_tokens);
     open.set_resume_offset(spec.resume_offset);
@@ -67,7 +67,7 @@
     spec.adapter = adapter_id(open.adapter());
     spec.account = client_account_id(open.client_account());
     spec.size = static_cast<length_class>(std::min(open.length_class(), last_length_class));
-    spec.standing = static_cast<priority>(std::min(open.priority(), last_priority));
+    spec.request_priority = static_cast<priority>(std::min(open.priority(), last_priority));
     spec.prompt_tokens = not_negative(open.prompt_tokens());
     spec.max_tokens = not_negative(open.max_tokens());
     spec.resume_offset = not_negative(open.resume_offset());
--- a/src/serve/attempt_tracker.cpp
+++ b/src/serve/attempt_tracker.cpp
@@ -52,7 +52,7 @@
 }
 
 attempt_tracker::attempt_tracker(permit_controller& gate, duration cancel_backoff, std::string warm_ups,
-                                 const stream_watch_options& watch)
+                                 const stream_stall_options& watch)
     : gate_(gate)
     , cancel_backoff_(cancel_backoff)
     , watch_(watch)
@@ -77,13 +77,13 @@
     spec.gateway = process_id(warm_ups_);
     spec.model = model;
     spec.size = all_length_classes.back(); // the engine serves it last
-    spec.standing = priority::overnight;
+    spec.request_priority = priority::overnight;
     spec.prompt_tokens = cost - warm_up_answer;
     spec.prefill = spec.prompt_tokens;
     spec.max_tokens = warm_up_answer;
     spec.remaining = warm_up_limit;
     const auto answer =
-        gate_.ask(now, permit_ask{spec.gateway, length_class::interactive, cost, spec.prefill});
+        gate_.ask(now, permit_request{spec.gateway, length_class::interactive, cost, spec.prefill});
     const auto* granted = std::get_if<permit>(&answer);
     if (granted == nullptr || !gate_.begin(now, granted->lease)) {
         return;
@@ -134,7 +134,7 @@
         return;
     }
     const auto answer = gate_.ask(
-        now, permit_ask{spec.gateway, spec.size, spec.prompt_tokens + spec.max_tokens, spec.prefill});
+        now, permit_request{spec.gateway, spec.size, spec.prompt_tokens + spec.max_tokens, spec.prefill});
     if (const auto* refused = std::get_if<refusal>(&answer)) {
         actions.push_back(sidecar_output::refuse_call{input.call, *refused});
         return;
@@ -275,9 +275,9 @@
 void attempt_tracker::reconcile(instant now, const sidecar_input::engine_reported& report,
                                 std::vector<sidecar_action>& actions)
 {
-    const bool started_anew = engine_start_ != incarnation{} && report.word.start != engine_start_;
-    engine_start_ = report.word.start;
-    watch_.reported(report.word.queued_prefill, report.word.cold);
+    const bool started_anew = engine_start_ != incarnation{} && report.status.start != engine_start_;
+    engine_start_ = report.status.start;
+    watch_.reported(report.status.queued_prefill, report.status.cold);
     if (started_anew) {
         cancels_.clear(); // the engine's memory is empty; the gate has taken the permits back itself
     }
--- a/src/serve/completion_dispatcher.cpp
+++ b/src/serve/completion_dispatcher.cpp
@@ -57,7 +57,7 @@
     const auto held = take_in(now, input, actions);
     if (held != requests_.end()) {
         held->second.on_hold = true;
-        actions.push_back(gateway_output::note_paused{input.exchange});
+        actions.push_back(gateway_output::log_paused{input.exchange});
     }
 }
 
@@ -77,13 +77,13 @@
         actions.push_back(gateway_output::cancel_attempt{{exchange, item.running}});
         // Guards against tokens of the try given up here that mix with those of the next: the caller would
         // read words twice. The joiner drops whatever has an older try's number.
-        item.joiner.change_attempt();
+        item.joiner.switch_attempt();
         item.may_have_run = item.may_have_run || item.prompt_sent;
         --item.attempts;
         end_attempt(now, item);
     }
     gangs_.give_back(now, exchange, actions);
-    actions.push_back(gateway_output::note_paused{exchange});
+    actions.push_back(gateway_output::log_paused{exchange});
 }
 
 void completion_dispatcher::resume(instant now, exchange_number exchange,
@@ -95,7 +95,7 @@
     }
     held->second.on_hold = false;
     held->second.was_on_hold = true;
-    actions.push_back(gateway_output::note_resumed{exchange});
+    actions.push_back(gateway_output::log_resumed{exchange});
     dispatch(now, held, actions);
 }
 
@@ -163,7 +163,7 @@
     item.prompt_sent = false;
     attempt_spec spec{
         item.asked.request,       item.running,          self_,          item.asked.account,
-        item.asked.model,         item.asked.adapter,    choice.size,    item.asked.standing,
+        item.asked.model,         item.asked.adapter,    choice.size,    item.asked.request_priority,
         item.asked.prompt_tokens, item.asked.max_tokens, choice.prefill, item.joiner.delivered(),
         item.limit.remaining(now)};
     if (gang != nullptr) {
@@ -188,7 +188,8 @@
     open(now, held, part, choice, &made, actions);
 }
 
-void completion_dispatcher::lost(instant now, const gang_lost& loss, std::vector<gateway_action>& actions)
+void completion_dispatcher::lost(instant now, const gang_attempt_lost& loss,
+                                 std::vector<gateway_action>& actions)
 {
     const auto held = requests_.find(loss.exchange);
     if (held == requests_.end() || held->second.on_hold) {
@@ -398,7 +399,7 @@
     // Guards against work that this gateway took in, made wait, and then gives up because the upstreams have
     // no room in the moment in which it goes on: its caller would have waited for nothing. It is tried at a
     // pace that loads nobody until its limit, which its timer keeps.
-    item.joiner.change_attempt();
+    item.joiner.switch_attempt();
     item.routing.excluded.clear();
     set_other_timer(held, now + std::max(after, waiting_retry), due::retry);
     return true;
--- a/src/serve/gang_dispatcher.cpp
+++ b/src/serve/gang_dispatcher.cpp
@@ -35,8 +35,8 @@
 void gang_dispatcher::start(instant now, const gateway_input::completion_arrived& asked,
                             const deadline_budget& limit, actions_out& actions)
 {
-    if (under_way() >= gang_settings{}.max_gangs) {
-        outcomes_.emplace_back(gang_lost{
+    if (under_way() >= gang_planner_options{}.max_gangs) {
+        outcomes_.emplace_back(gang_attempt_lost{
             asked.exchange,
             {refusal_code::overloaded, ran_state::no, full_retry, "send it again after the time given"},
             true});
@@ -50,7 +50,7 @@
     note_round({asked.request, round});
     // The last share, where the answer is decoded, has room for the answer and for what imports take.
     const gang_request wanted{asked.request, asked.prompt_tokens,
-                              asked.max_tokens + asked.prompt_tokens / import_part + 1};
+                              asked.max_tokens + asked.prompt_tokens / import_memory_divisor + 1};
     const auto candidates = candidates_of({asked.model, asked.adapter});
     carry_out(now, planner_of(item).start(now, wanted, round, limit, candidates), actions);
 }
@@ -106,7 +106,7 @@
     give_back(now, input.key.exchange, actions);
     auto why = input.why;
     why.code = refusal_code::upstream_gone; // one member's trouble; another gang may do
-    outcomes_.emplace_back(gang_lost{input.key.exchange, std::move(why), false});
+    outcomes_.emplace_back(gang_attempt_lost{input.key.exchange, std::move(why), false});
 }
 
 void gang_dispatcher::finished(instant now, const gateway_input::attempt_finished& input,
@@ -272,7 +272,7 @@
     spec.model = item.asked.model;
     spec.adapter = item.asked.adapter;
     spec.size = length_class::gang;
-    spec.standing = item.asked.standing;
+    spec.request_priority = item.asked.request_priority;
     spec.prompt_tokens = span.end - span.begin;
     spec.prefill = spec.prompt_tokens;
     spec.remaining = item.limit.remaining(now);
@@ -294,7 +294,7 @@
     const bool never_ready = item.state == phase::reserving;
     end_export(held->first, item, actions);
     item.state = phase::idle;
-    outcomes_.emplace_back(gang_lost{held->first, lost.why, never_ready});
+    outcomes_.emplace_back(gang_attempt_lost{held->first, lost.why, never_ready});
 }
 
 void gang_dispatcher::end_export(exchange_number exchange, gang& item, actions_out& actions)
--- a/src/serve/gateway_core.cpp
+++ b/src/serve/gateway_core.cpp
@@ -97,13 +97,13 @@
                 completions_.decode(now, *made, actions);
             }
             else {
-                completions_.lost(now, std::get<gang_lost>(outcome), actions);
+                completions_.lost(now, std::get<gang_attempt_lost>(outcome), actions);
             }
         }
     }
 }
 
-auto gateway_core::shares_asked(instant now, const std::vector<share_request>& requests)
+auto gateway_core::grant_shares(instant now, const std::vector<share_request>& requests)
     -> std::vector<share_grant>
 {
     std::vector<share_grant> grants;
@@ -154,7 +154,7 @@
         else if (const auto* ticket = std::get_if<gateway_output::give_ticket>(&action)) {
             give_back(now, ticket->exchange, 0);
         }
-        else if (const auto* running = std::get_if<gateway_output::tell_running>(&action)) {
+        else if (const auto* running = std::get_if<gateway_output::report_running>(&action)) {
             give_back(now, running->exchange, 0);
         }
     }
@@ -230,7 +230,7 @@
     if (auto* refused = std::get_if<refusal>(&answer)) {
         actions.push_back(gateway_output::refuse{input.exchange, std::move(*refused)});
     }
-    else if (std::holds_alternative<hold_work>(answer)) {
+    else if (std::holds_alternative<defer_work>(answer)) {
         completions_.arrived_on_hold(now, input, actions);
     }
     else {
@@ -321,7 +321,7 @@
     say_if_done(actions);
 }
 
-void gateway_core::take(instant now, const gateway_input::load_heard& input, actions_out& /*actions*/)
+void gateway_core::take(instant now, const gateway_input::load_reported& input, actions_out& /*actions*/)
 {
     routes_.report(now, input.upstream, input.load);
 }
@@ -414,7 +414,7 @@
     }
 }
 
-void gateway_core::take(instant now, const gateway_input::stop_asked& /*input*/, actions_out& actions)
+void gateway_core::take(instant now, const gateway_input::stop_requested& /*input*/, actions_out& actions)
 {
     stopping_ = true;
     overload_.stop();
@@ -430,12 +430,12 @@
     review_overload(now, actions);
     for (auto& asked : limiter_.tick(now)) {
         if (asked.home == options_.self) {
-            for (const auto& grant : shares_asked(now, asked.requests)) {
+            for (const auto& grant : grant_shares(now, asked.requests)) {
                 limiter_.share_granted(now, grant, asked.asked);
             }
         }
         else {
-            actions.push_back(gateway_output::ask_for_shares{std::move(asked)});
+            actions.push_back(gateway_output::request_account_shares{std::move(asked)});
         }
     }
     probe_old_loads(now, actions);
@@ -446,7 +446,7 @@
 {
     // Only while there is work: an idle gateway needs no load words. The spacing bounds what this costs
     // however many upstreams there are; words of those that get requests also come with the answers.
-    if (in_hand() == 0 || now < next_probes_) {
+    if (in_flight() == 0 || now < next_probes_) {
         return;
     }
     next_probes_ = now + options_.probe_spacing;
@@ -457,7 +457,7 @@
 
 void gateway_core::say_if_done(actions_out& actions)
 {
-    if (stopping_ && in_hand() == 0 && gangs_.releases() == 0 && !said_all_done_) {
+    if (stopping_ && in_flight() == 0 && gangs_.releases() == 0 && !said_all_done_) {
         said_all_done_ = true;
         actions.push_back(gateway_output::all_done{});
     }
--- a/src/serve/keyed_call_dispatcher.cpp
+++ b/src/serve/keyed_call_dispatcher.cpp
@@ -25,7 +25,7 @@
 
 auto kind_of(const gateway_input::service_arrived& asked) -> call_kind
 {
-    const bool harmless = asked.wish != service_wish::run || asked.spec.idempotent;
+    const bool harmless = asked.operation != service_operation::run || asked.spec.idempotent;
     return harmless ? call_kind::idempotent : call_kind::non_repeatable;
 }
 
@@ -97,18 +97,18 @@
         return std::optional<upstream_id>();
     }
     const auto& configured = services_.at(spec.route).upstreams;
-    return home_of(home_key(spec.route, spec.account, spec.idempotency_key), configured);
+    return home_of(home_hash(spec.route, spec.account, spec.idempotency_key), configured);
 }
 
 auto keyed_call_dispatcher::choose(instant now, const call& item) -> route_decision
 {
     // A ticket is minted by any sidecar: nothing runs for it. Every other call with a home goes there or
     // nowhere.
-    if (!item.home || item.asked.wish == service_wish::ticket) {
+    if (!item.home || item.asked.operation == service_operation::ticket) {
         return routes_.choose(now, routing_of(item.asked.spec, item.excluded));
     }
     const auto* record = routes_.table().find(*item.home);
-    const bool only_asks = item.asked.wish == service_wish::status;
+    const bool only_asks = item.asked.operation == service_operation::status;
     if (record == nullptr || record->state() == upstream_state::dead ||
         (!only_asks && !record->takes_new_work())) {
         const bool drained =
@@ -139,7 +139,7 @@
     auto spec = item.asked.spec;
     spec.remaining = item.limit.remaining(now);
     actions.push_back(gateway_output::call_service{choice.upstream, attempt_key{held->first, item.attempt},
-                                                   item.asked.wish, std::move(spec)});
+                                                   item.asked.operation, std::move(spec)});
 }
 
 void keyed_call_dispatcher::answered(instant now, const gateway_input::service_answered& input,
@@ -172,7 +172,7 @@
     if (held == calls_.end()) {
         return;
     }
-    actions.push_back(gateway_output::tell_running{held->first});
+    actions.push_back(gateway_output::report_running{held->first});
     forget(now, held);
 }
 
--- a/src/serve/link_schedule.cpp
+++ b/src/serve/link_schedule.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-link_schedule::link_schedule(instant now, heartbeat_times times)
+link_schedule::link_schedule(instant now, heartbeat_options times)
     : times_(times)
     , doubt_since_(now)
 {
@@ -23,10 +23,10 @@
 {
     at(size) = connection{};
     at(size).open = true;
-    check(now, size);
+    request_heartbeat(now, size);
 }
 
-void link_schedule::work(instant now, length_class size, std::size_t count, bool sent)
+void link_schedule::set_in_flight(instant now, length_class size, std::size_t count, bool sent)
 {
     auto& it = at(size);
     it.work = count;
@@ -42,7 +42,7 @@
     }
 }
 
-void link_schedule::heard(instant now, length_class size)
+void link_schedule::received(instant now, length_class size)
 {
     auto& it = at(size);
     it.heard_at = now;
@@ -57,7 +57,7 @@
     doubt_since_.reset();
 }
 
-void link_schedule::broke(instant now, length_class size)
+void link_schedule::disconnected(instant now, length_class size)
 {
     if (!at(size).open) {
         return;
@@ -68,10 +68,10 @@
         at(size) = connection{};
     }
     at(length_class::interactive).heard_at.reset();
-    check(now, length_class::interactive);
+    request_heartbeat(now, length_class::interactive);
 }
 
-void link_schedule::check(instant now, length_class size)
+void link_schedule::request_heartbeat(instant now, length_class size)
 {
     auto& it = at(size);
     if (it.unanswered) {
@@ -82,10 +82,10 @@
     it.waits_since = it.waits_since.value_or(now);
 }
 
-auto link_schedule::proven(instant now, length_class size) const -> bool
+auto link_schedule::recently_alive(instant now, length_class size) const -> bool
 {
     const auto& it = connections_[index_of(size)];
-    return it.heard_at && now - *it.heard_at <= times_.patience();
+    return it.heard_at && now - *it.heard_at <= times_.silence_timeout();
 }
 
 void link_schedule::doubt(instant now)
@@ -97,13 +97,13 @@
 
 auto link_schedule::longest_quiet() const -> duration
 {
-    return state_ == upstream_state::dead ? std::max(times_.patience(), times_.interval * dead_spacing)
-                                          : times_.patience();
+    return state_ == upstream_state::dead ? std::max(times_.silence_timeout(), times_.interval * dead_spacing)
+                                          : times_.silence_timeout();
 }
 
 void link_schedule::give_up(instant now, length_class size, link_actions& out)
 {
-    if (!heard_at_ || now - *heard_at_ > times_.patience()) {
+    if (!heard_at_ || now - *heard_at_ > times_.silence_timeout()) {
         doubt(now);
     }
     told_at_.reset(); // what was said on it may be lost
@@ -114,7 +114,7 @@
     }
     out.close.push_back(size);
     at(size) = connection{};
-    check(now, length_class::interactive);
+    request_heartbeat(now, length_class::interactive);
 }
 
 void link_schedule::ask_where_due(instant now, link_actions& out)
@@ -136,7 +136,7 @@
 
 void link_schedule::renew_if_due(instant now, link_actions& out)
 {
-    if (told_at_ && now - *told_at_ < times_.renewal) {
+    if (told_at_ && now - *told_at_ < times_.renewal_interval) {
         return;
     }
     const auto busy = std::find_if(connections_.begin(), connections_.end(), [&](const auto& it) {
@@ -155,7 +155,7 @@
     if (!doubt_since_) {
         return upstream_state::alive;
     }
-    return now - *doubt_since_ > times_.patience() ? upstream_state::dead : upstream_state::suspect;
+    return now - *doubt_since_ > times_.silence_timeout() ? upstream_state::dead : upstream_state::suspect;
 }
 
 auto link_schedule::tick(instant now) -> link_actions
--- a/src/serve/order_dispatcher.cpp
+++ b/src/serve/order_dispatcher.cpp
@@ -20,7 +20,7 @@
 auto keeper_options(const order_dispatcher_options& options) -> order_tracker_options
 {
     auto made = options.keeper;
-    made.answer_limit = until_engine_tells;
+    made.answer_timeout = until_engine_tells;
     return made;
 }
 
@@ -60,19 +60,19 @@
     }
 }
 
-void order_dispatcher::engine_read(instant now, const sidecar_input::engine_reported& report)
+void order_dispatcher::engine_state_received(instant now, const sidecar_input::engine_reported& report)
 {
     models_ = report.view.models;
     loading_ = report.loading;
     read_ = true;
     look_at_load(now, report.view);
-    keeper_.engine_read(report.view);
+    keeper_.engine_state_received(report.view);
 }
 
 void order_dispatcher::look_at_load(instant now, const engine_view& view)
 {
     // A look taken right after the order may still tell of the engine as it was before.
-    const bool taken = given_ && given_->taken && view.asked >= *given_->taken + options_.keeper.reread_after;
+    const bool taken = given_ && given_->taken && view.asked >= *given_->taken + options_.keeper.reread_delay;
     if (!taken || contains(loading_, given_->order.model)) {
         return;
     }
@@ -123,7 +123,7 @@
 void order_dispatcher::tick(instant now, instant own_lease, std::vector<sidecar_action>& actions)
 {
     keeper_.renew_own_lease(own_lease);
-    if (given_ && !given_->taken && now - given_->sent >= options_.answer_limit) {
+    if (given_ && !given_->taken && now - given_->sent >= options_.answer_timeout) {
         end_order(now, order_result::failed);
     }
     // What the engine is loading, perhaps at a predecessor's word, has to come to its end first.
@@ -138,7 +138,7 @@
     }
     given_ = given_order{++orders_, *order, now};
     actions.push_back(
-        sidecar_output::give_order{orders_, *order, std::min(now + options_.answer_limit, own_lease)});
+        sidecar_output::send_order{orders_, *order, std::min(now + options_.answer_timeout, own_lease)});
 }
 
 auto order_dispatcher::is_wanted(const model_id& model) const -> bool
--- a/src/serve/overload_controller.cpp
+++ b/src/serve/overload_controller.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-auto urgency_of(priority standing) -> work_priority
+auto urgency_of(priority request_priority) -> work_priority
 {
-    switch (standing) {
+    switch (request_priority) {
     case priority::doorstep:
         return work_priority::urgent;
     case priority::standard:
@@ -96,7 +96,7 @@
     }
     return {asked.request,
             asked.account,
-            urgency_of(asked.standing),
+            urgency_of(asked.request_priority),
             classify(asked.prompt_tokens, asked.prompt_tokens + asked.max_tokens, memory),
             cost,
             deadline_budget(now, asked.remaining())};
@@ -123,7 +123,7 @@
         if (stopping_ || !may_pause(now, all_to_come) || !model.paused.add(all_to_come)) {
             return std::move(*refused);
         }
-        answer = hold_work{};
+        answer = defer_work{};
     }
     held_.insert_or_assign(asked.exchange, held_work{all_to_come, asked.model, false});
     by_name_.insert_or_assign(asked.request, asked.exchange);
--- a/src/serve/self_check.cpp
+++ b/src/serve/own_lease_renewer.cpp
@@ -1,4 +1,4 @@
-#include "dragonflymill/serve/self_check.h"
+#include "dragonflymill/serve/own_lease_renewer.h"
 
 #include <utility>
 
@@ -14,12 +14,12 @@
 
 } // namespace
 
-self_check::self_check(self_check_options options)
+own_lease_renewer::own_lease_renewer(own_lease_renewer_options options)
     : options_(std::move(options))
 {
 }
 
-void self_check::listening(instant now)
+void own_lease_renewer::listening(instant now)
 {
     own_lease_options lease;
     lease.self = options_.self;
@@ -29,14 +29,14 @@
     next_ask_ = now;
 }
 
-void self_check::bundle_confirmed(instant asked)
+void own_lease_renewer::bundle_confirmed(instant asked)
 {
     if (lease_) {
         lease_->bundle_confirmed(asked);
     }
 }
 
-void self_check::answered(const sidecar_input::sidecar_answered& answer)
+void own_lease_renewer::answered(const sidecar_input::sidecar_answered& answer)
 {
     // Another upstream's sidecar at this address is a mistake in the bundle, and no successor.
     if (lease_ && answer.upstream == options_.upstream) {
@@ -44,7 +44,7 @@
     }
 }
 
-void self_check::tick(instant now, std::vector<sidecar_action>& actions)
+void own_lease_renewer::tick(instant now, std::vector<sidecar_action>& actions)
 {
     if (!lease_ || address_.empty() || now < next_ask_) {
         return;
@@ -53,7 +53,7 @@
     actions.push_back(sidecar_output::ask_sidecar{{options_.upstream, address_}});
 }
 
-auto self_check::until(instant now) -> instant
+auto own_lease_renewer::until(instant now) -> instant
 {
     if (!lease_) {
         return instant::min();
--- a/src/serve/service_dispatcher.cpp
+++ b/src/serve/service_dispatcher.cpp
@@ -64,8 +64,8 @@
     if (!spec.ticket.empty()) {
         return {owner, ticket_name{spec.ticket}, body};
     }
-    const auto key = home_key(spec.route, spec.account, spec.idempotency_key);
-    const key_name name{spec.idempotency_key, homes_.home_here(spec.route, key),
+    const auto key = home_hash(spec.route, spec.account, spec.idempotency_key);
+    const key_name name{spec.idempotency_key, homes_.is_home(spec.route, key),
                         homes_.other_home_until(spec.route, key)};
     return {owner, name, body};
 }
@@ -92,7 +92,7 @@
 {
 }
 
-void service_dispatcher::ticket_asked(instant now, const sidecar_input::ticket_asked& input,
+void service_dispatcher::ticket_asked(instant now, const sidecar_input::ticket_requested& input,
                                       std::vector<sidecar_action>& actions)
 {
     auto minted = ledger_.mint(now, {input.spec.route, input.spec.account, remember_for(input.spec.route)});
@@ -100,7 +100,7 @@
         actions.push_back(sidecar_output::refuse_call{input.call, std::move(*refused)});
         return;
     }
-    actions.push_back(sidecar_output::give_ticket{input.call, std::get<once_minted>(minted).text});
+    actions.push_back(sidecar_output::send_ticket{input.call, std::get<once_minted>(minted).text});
 }
 
 void service_dispatcher::called(instant now, const sidecar_input::service_called& input,
@@ -147,7 +147,7 @@
 auto service_dispatcher::ask_permit(instant now, const sidecar_input::service_called& input,
                                     std::vector<sidecar_action>& actions) -> std::optional<lease_id>
 {
-    const auto answer = gate_.ask(now, permit_ask{input.spec.gateway, length_class::interactive, 1, 0});
+    const auto answer = gate_.ask(now, permit_request{input.spec.gateway, length_class::interactive, 1, 0});
     if (const auto* refused = std::get_if<refusal>(&answer)) {
         actions.push_back(sidecar_output::refuse_call{input.call, *refused});
         return std::nullopt;
@@ -176,7 +176,7 @@
     actions.push_back(sidecar_output::run_service{input.call, input.spec, not_after, limit.remaining(now)});
 }
 
-void service_dispatcher::status_asked(instant now, const sidecar_input::status_asked& input,
+void service_dispatcher::status_asked(instant now, const sidecar_input::status_requested& input,
                                       std::vector<sidecar_action>& actions)
 {
     auto call = once_call_of(input.spec);
@@ -205,7 +205,7 @@
     running_.erase(held);
 }
 
-void service_dispatcher::broken(instant now, const sidecar_input::service_broken& input,
+void service_dispatcher::broken(instant now, const sidecar_input::service_failed& input,
                                 std::vector<sidecar_action>& actions)
 {
     const auto held = running_.find(input.call);
@@ -272,7 +272,7 @@
         actions.push_back(sidecar_output::refuse_call{call, error_refusal(*failure)});
     }
     else {
-        actions.push_back(sidecar_output::tell_running{call});
+        actions.push_back(sidecar_output::report_running{call});
     }
 }
 
--- a/src/serve/share_coordinator.cpp
+++ b/src/serve/share_coordinator.cpp
@@ -44,7 +44,7 @@
 {
 }
 
-void share_coordinator::asked(instant now, const sidecar_input::share_asked& input,
+void share_coordinator::asked(instant now, const sidecar_input::share_requested& input,
                               std::vector<sidecar_action>& actions)
 {
     const auto held = shares_.find(input.wanted.gang);
@@ -59,7 +59,7 @@
     actions.push_back(sidecar_output::grant_share{input.call, held->second.lease, input.wanted.ask});
 }
 
-void share_coordinator::reserve(instant now, const sidecar_input::share_asked& input,
+void share_coordinator::reserve(instant now, const sidecar_input::share_requested& input,
                                 std::vector<sidecar_action>& actions)
 {
     const auto& wanted = input.wanted;
@@ -72,7 +72,7 @@
         return;
     }
     const auto answer =
-        gate_.ask(now, permit_ask{input.gateway, length_class::gang, wanted.tokens, wanted.tokens});
+        gate_.ask(now, permit_request{input.gateway, length_class::gang, wanted.tokens, wanted.tokens});
     if (const auto* refused = std::get_if<refusal>(&answer)) {
         refuse(now, input, *refused, actions);
         return;
@@ -92,7 +92,7 @@
     actions.push_back(sidecar_output::grant_share{input.call, lease.value().lease, wanted.ask});
 }
 
-void share_coordinator::refuse(instant now, const sidecar_input::share_asked& input, refusal why,
+void share_coordinator::refuse(instant now, const sidecar_input::share_requested& input, refusal why,
                                std::vector<sidecar_action>& actions)
 {
     const bool in_line = may_wait(input.wanted, why);
@@ -120,7 +120,7 @@
     return line_ && line_->until > now && line_->gang != gang;
 }
 
-auto share_coordinator::keeps_line(instant now, const attempt_spec& spec) const -> bool
+auto share_coordinator::admits_only_reserved(instant now, const attempt_spec& spec) const -> bool
 {
     const bool is_long = spec.size == length_class::bulk || spec.size == length_class::gang;
     return is_long && spec.share == lease_id{} && line_ && line_->until > now;
@@ -133,7 +133,7 @@
     return leases_.renew(now, held.lease) && spans;
 }
 
-void share_coordinator::renewal_asked(instant now, const sidecar_input::share_renewal_asked& input,
+void share_coordinator::renewal_asked(instant now, const sidecar_input::share_renewal_requested& input,
                                       std::vector<sidecar_action>& actions)
 {
     const auto held = shares_.find(input.wanted.gang);
@@ -147,7 +147,7 @@
     actions.push_back(sidecar_output::grant_share{input.call, held->second.lease, input.wanted.ask});
 }
 
-void share_coordinator::returned(instant now, const sidecar_input::share_returned& input,
+void share_coordinator::returned(instant now, const sidecar_input::share_release_requested& input,
                                  std::vector<sidecar_action>& actions)
 {
     const auto held = shares_.find(input.gang);
@@ -180,7 +180,7 @@
     }
     for (const auto& each : spec.imports) {
         const holding what{kv_name(each.span), holding_kind::exported_span,
-                           (each.end - each.begin) / import_part + 1};
+                           (each.end - each.begin) / import_memory_divisor + 1};
         const auto lease = leases_.hold(now, item.gateway, what);
         if (!lease) {
             return std::nullopt;
@@ -222,7 +222,7 @@
 
 void share_coordinator::reconcile(instant now, const sidecar_input::engine_reported& report)
 {
-    engine_inventory inventory{now, report.word.start, {}};
+    engine_inventory inventory{now, report.status.start, {}};
     for (const auto& each : report.held) {
         if (each.kv) {
             inventory.held.push_back({kv_name(each.id), holding_kind::exported_span, each.tokens});
--- a/src/serve/sidecar_core.cpp
+++ b/src/serve/sidecar_core.cpp
@@ -43,7 +43,7 @@
     renew_own_lease(now);
     actions_out actions;
     std::visit([&](const auto& input) { take(now, input, actions); }, event);
-    for (const auto lease : shares_.take_ended()) {
+    for (const auto lease : shares_.take_ended_permits()) {
         attempts_.share_ended(now, lease, actions);
     }
     return actions;
@@ -113,7 +113,7 @@
     if (refuse_if_stopping(input.call, actions) || refuse_if_not_ready(input.call, actions)) {
         return;
     }
-    if (shares_.keeps_line(now, input.spec)) {
+    if (shares_.admits_only_reserved(now, input.spec)) {
         actions.push_back(
             sidecar_output::refuse_call{input.call,
                                         {refusal_code::overloaded, ran_state::no, line_retry,
@@ -134,7 +134,7 @@
     services_.cancelled(input.call);
 }
 
-void sidecar_core::take(instant now, const sidecar_input::gateway_heard& input, actions_out& /*actions*/)
+void sidecar_core::take(instant now, const sidecar_input::gateway_heartbeat& input, actions_out& /*actions*/)
 {
     attempts_.gateway_heard(now, input.gateway);
 }
@@ -174,7 +174,7 @@
     shares_.span_released(now, input.span);
 }
 
-void sidecar_core::take(instant now, const sidecar_input::share_asked& input, actions_out& actions)
+void sidecar_core::take(instant now, const sidecar_input::share_requested& input, actions_out& actions)
 {
     if (stopping_) {
         actions.push_back(sidecar_output::refuse_share{
@@ -186,17 +186,19 @@
     shares_.asked(now, input, actions);
 }
 
-void sidecar_core::take(instant now, const sidecar_input::share_renewal_asked& input, actions_out& actions)
+void sidecar_core::take(instant now, const sidecar_input::share_renewal_requested& input,
+                        actions_out& actions)
 {
     shares_.renewal_asked(now, input, actions);
 }
 
-void sidecar_core::take(instant now, const sidecar_input::share_returned& input, actions_out& actions)
+void sidecar_core::take(instant now, const sidecar_input::share_release_requested& input,
+                        actions_out& actions)
 {
     shares_.returned(now, input, actions);
 }
 
-void sidecar_core::take(instant now, const sidecar_input::ticket_asked& input, actions_out& actions)
+void sidecar_core::take(instant now, const sidecar_input::ticket_requested& input, actions_out& actions)
 {
     if (!refuse_if_stopping(input.call, actions)) {
         services_.ticket_asked(now, input, actions);
@@ -210,7 +212,7 @@
     }
 }
 
-void sidecar_core::take(instant now, const sidecar_input::status_asked& input, actions_out& actions)
+void sidecar_core::take(instant now, const sidecar_input::status_requested& input, actions_out& actions)
 {
     services_.status_asked(now, input, actions);
 }
@@ -220,7 +222,7 @@
     services_.answered(now, input, actions);
 }
 
-void sidecar_core::take(instant now, const sidecar_input::service_broken& input, actions_out& actions)
+void sidecar_core::take(instant now, const sidecar_input::service_failed& input, actions_out& actions)
 {
     services_.broken(now, input, actions);
 }
@@ -249,7 +251,7 @@
 void sidecar_core::take(instant now, const sidecar_input::listening& /*input*/, actions_out& /*actions*/)
 {
     self_check_.listening(now);
-    ledger_.predecessor_acts_until(now + options_.own_lease_term);
+    ledger_.extend_predecessor_lease(now + options_.own_lease_term);
 }
 
 void sidecar_core::take(instant /*now*/, const sidecar_input::bundle_confirmed& input,
@@ -281,7 +283,7 @@
     orders_.answered(now, input);
 }
 
-void sidecar_core::take(instant now, const sidecar_input::stop_asked& /*input*/, actions_out& actions)
+void sidecar_core::take(instant now, const sidecar_input::stop_requested& /*input*/, actions_out& actions)
 {
     stopping_ = true;
     gate_.set_draining(now, true);
@@ -316,7 +318,7 @@
     if (!stopping_) {
         orders_.tick(now, ledger_.own_lease(), actions);
     }
-    if (stopping_ && in_hand() == 0 && !said_all_done_) {
+    if (stopping_ && in_flight() == 0 && !said_all_done_) {
         said_all_done_ = true;
         actions.push_back(sidecar_output::all_done{});
     }
@@ -325,13 +327,13 @@
 void sidecar_core::on_report(instant now, const sidecar_input::engine_reported& report, actions_out& actions)
 {
     reported_at_ = now;
-    last_report_ = report.word;
+    last_report_ = report.status;
     memory_used_ = report.memory_used;
-    gate_.report(now, report.word);
+    gate_.report(now, report.status);
     end_permits(now, actions);
     attempts_.reconcile(now, report, actions);
     shares_.reconcile(now, report);
-    orders_.engine_read(now, report);
+    orders_.engine_state_received(now, report);
 }
 
 } // namespace dragonflymill
--- a/src/serve/stream_watch.cpp
+++ b/src/serve/stream_stall_detector.cpp
@@ -1,4 +1,4 @@
-#include "dragonflymill/serve/stream_watch.h"
+#include "dragonflymill/serve/stream_stall_detector.h"
 
 #include "dragonflymill/core/guard.h"
 
@@ -13,14 +13,14 @@
 
 } // namespace
 
-stream_watch::stream_watch(stream_watch_options options)
+stream_stall_detector::stream_stall_detector(stream_stall_options options)
     : options_(options)
 {
 }
 
-void stream_watch::began(instant now, call_number call, token_count prompt)
+void stream_stall_detector::began(instant now, call_number call, token_count prompt)
 {
-    notice_own_pause(now);
+    account_for_process_pause(now);
     const auto ahead = std::max(waiting_, reported_queue_);
     put_ += prompt;
     waiting_ += prompt;
@@ -28,9 +28,9 @@
     streams_.insert_or_assign(call, watched{now, prompt, ahead + prompt - put_, false});
 }
 
-void stream_watch::progressed(instant now, call_number call)
+void stream_stall_detector::progressed(instant now, call_number call)
 {
-    notice_own_pause(now);
+    account_for_process_pause(now);
     const auto found = streams_.find(call);
     if (found == streams_.end()) {
         return;
@@ -46,7 +46,7 @@
     stream.last = now;
 }
 
-void stream_watch::ended(call_number call)
+void stream_stall_detector::ended(call_number call)
 {
     const auto found = streams_.find(call);
     if (found == streams_.end()) {
@@ -58,16 +58,16 @@
     streams_.erase(found);
 }
 
-void stream_watch::reported(token_count queued_prefill, bool cold)
+void stream_stall_detector::reported(token_count queued_prefill, bool cold)
 {
     reported_queue_ = queued_prefill;
     cold_ = cold;
 }
 
-auto stream_watch::silent(instant now, const std::optional<first_token_line>& line)
+auto stream_stall_detector::silent(instant now, const std::optional<first_token_line>& line)
     -> std::vector<call_number>
 {
-    notice_own_pause(now);
+    account_for_process_pause(now);
     std::vector<call_number> found;
     for (const auto& [call, stream] : streams_) {
         const auto limit = bound(stream, line);
@@ -78,9 +78,9 @@
     return found;
 }
 
-void stream_watch::notice_own_pause(instant now)
+void stream_stall_detector::account_for_process_pause(instant now)
 {
-    if (last_call_ && now - *last_call_ > options_.own_pause) {
+    if (last_call_ && now - *last_call_ > options_.pause_threshold) {
         for (auto& [call, stream] : streams_) {
             stream.last += now - *last_call_;
         }
@@ -88,10 +88,10 @@
     last_call_ = now;
 }
 
-auto stream_watch::bound(const watched& stream, const std::optional<first_token_line>& line) const
+auto stream_stall_detector::bound(const watched& stream, const std::optional<first_token_line>& line) const
     -> std::optional<duration>
 {
-    const double stretch = cold_ ? options_.cold_multiple : 1.0;
+    const double stretch = cold_ ? options_.cold_factor : 1.0;
     if (stream.decoding) {
         return std::max(options_.floor, scaled(usual_gap_, options_.token_multiple * stretch));
     }
--- a/src/sidecar/gate_service.cpp
+++ b/src/sidecar/gate_service.cpp
@@ -42,7 +42,7 @@
 {
     const auto call = next_call();
     return open_unary(ticket_calls_, reply, call,
-                      sidecar_input::ticket_asked{call, rpc::from_wire(*request)});
+                      sidecar_input::ticket_requested{call, rpc::from_wire(*request)});
 }
 
 auto gate_service::call_service(grpc::CallbackServerContext* /*context*/, const wire::service_call* request,
@@ -58,7 +58,7 @@
 {
     const auto call = next_call();
     return open_unary(service_calls_, reply, call,
-                      sidecar_input::status_asked{call, rpc::from_wire(*request)});
+                      sidecar_input::status_requested{call, rpc::from_wire(*request)});
 }
 
 auto gate_service::reserve_share(grpc::CallbackServerContext* /*context*/,
@@ -68,7 +68,7 @@
     const auto call = next_call();
     return open_unary(
         share_calls_, reply, call,
-        sidecar_input::share_asked{call, process_id(request->gateway()), rpc::reservation_of(*request)});
+        sidecar_input::share_requested{call, process_id(request->gateway()), rpc::reservation_of(*request)});
 }
 
 auto gate_service::renew_share(grpc::CallbackServerContext* /*context*/,
@@ -76,9 +76,9 @@
     -> grpc::ServerUnaryReactor*
 {
     const auto call = next_call();
-    return open_unary(
-        share_calls_, reply, call,
-        sidecar_input::share_renewal_asked{call, process_id(request->gateway()), rpc::renewal_of(*request)});
+    return open_unary(share_calls_, reply, call,
+                      sidecar_input::share_renewal_requested{call, process_id(request->gateway()),
+                                                             rpc::renewal_of(*request)});
 }
 
 auto gate_service::release_share(grpc::CallbackServerContext* /*context*/,
@@ -88,7 +88,7 @@
     const auto call = next_call();
     return open_unary(
         share_calls_, reply, call,
-        sidecar_input::share_returned{call, process_id(request->gateway()), rpc::gang_of(*request)});
+        sidecar_input::share_release_requested{call, process_id(request->gateway()), rpc::gang_of(*request)});
 }
 
 void gate_service::answer_share(call_number call, wire::gang_share_reply reply)
--- a/src/sidecar/order_log.cpp
+++ b/src/sidecar/order_log.cpp
@@ -37,7 +37,7 @@
 
 void order_log::note(const sidecar_action& action)
 {
-    if (const auto* given = std::get_if<sidecar_output::give_order>(&action)) {
+    if (const auto* given = std::get_if<sidecar_output::send_order>(&action)) {
         log_event(event::order_sent, field("number", given->number), field("order", what_of(given->order)),
                   field("fence", given->order.fence.value()));
     }
--- a/src/sidecar/sidecar_log.cpp
+++ b/src/sidecar/sidecar_log.cpp
@@ -35,7 +35,7 @@
     else if (const auto* cancel = std::get_if<sidecar_output::cancel_stream>(&action)) {
         cancelled(*cancel);
     }
-    else if (std::holds_alternative<sidecar_output::give_ticket>(action)) {
+    else if (std::holds_alternative<sidecar_output::send_ticket>(action)) {
         log_event(event::ticket_issued);
     }
     else if (const auto* answer = std::get_if<sidecar_output::answer_service>(&action)) {
@@ -59,7 +59,7 @@
 
 void sidecar_log::reported(const sidecar_input::engine_reported& report)
 {
-    const auto before = std::exchange(start_, report.word.start);
+    const auto before = std::exchange(start_, report.status.start);
     if (before != incarnation{} && before != start_) {
         cancels_.clear();
         log_event(event::upstream_restarted, field("start", start_));
--- a/src/sidecar/sidecar_probe.cpp
+++ b/src/sidecar/sidecar_probe.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr duration answer_limit = 1500ms;
+constexpr duration answer_timeout = 1500ms;
 
 auto stub_for(const std::string& address) -> std::unique_ptr<wire::sidecar_gate::Stub>
 {
@@ -52,7 +52,7 @@
         ping_.set_number(1);
         ping_.set_sender(self.text());
         ping_.set_from_sidecar(true);
-        context_.set_deadline(std::chrono::system_clock::now() + answer_limit);
+        context_.set_deadline(std::chrono::system_clock::now() + answer_timeout);
         calls_.begin(context_);
         stub_->async()->heartbeat(&context_, this);
         StartRead(&pong_);
--- a/src/sidecar/sidecar_server.cpp
+++ b/src/sidecar/sidecar_server.cpp
@@ -129,7 +129,7 @@
 
 void sidecar_server::stop()
 {
-    post(sidecar_input::stop_asked{});
+    post(sidecar_input::stop_requested{});
 }
 
 void sidecar_server::join()
@@ -151,7 +151,7 @@
     if (event) {
         if (const auto* heartbeat = std::get_if<heartbeat_event>(&*event)) {
             if (!heartbeat->from_sidecar) {
-                carry_out(core_.step(now, sidecar_input::gateway_heard{heartbeat->gateway}));
+                carry_out(core_.step(now, sidecar_input::gateway_heartbeat{heartbeat->gateway}));
             }
             answer_heartbeat(*heartbeat);
         }
@@ -186,14 +186,14 @@
     status.process = process_;
     status.role = "sidecar";
     status.version = app::version_text();
-    status.in_flight = core_.in_hand();
+    status.in_flight = core_.in_flight();
     std::string state = load.cold ? "cold" : "alive";
     if (load.draining) {
         state = "drained";
     }
     status.upstreams.push_back({self_, state, load.outstanding, load.allowed});
     status_.set(std::move(status));
-    order_log_.note(core_.acts(now), core_.orders().superseded());
+    order_log_.note(core_.holds_own_lease(now), core_.orders().superseded());
 }
 
 void sidecar_server::answer_heartbeat(const heartbeat_event& event)
@@ -335,12 +335,12 @@
     gate_.answer(action.call, reply);
 }
 
-void sidecar_server::act(const sidecar_output::give_ticket& action)
+void sidecar_server::act(const sidecar_output::send_ticket& action)
 {
     gate_.give_ticket(action.call, action.ticket);
 }
 
-void sidecar_server::act(const sidecar_output::tell_running& action)
+void sidecar_server::act(const sidecar_output::report_running& action)
 {
     wire::service_reply reply;
     reply.set_running(true);
@@ -352,7 +352,7 @@
     probe_.ask(action.place.address);
 }
 
-void sidecar_server::act(const sidecar_output::give_order& action)
+void sidecar_server::act(const sidecar_output::send_order& action)
 {
     boost::asio::post(upstream_thread_.context(), [this, action] { engine_.give_order(action); });
 }
--- a/src/sidecar/sidecar_server.h
+++ b/src/sidecar/sidecar_server.h
@@ -72,10 +72,10 @@
     void act(const sidecar_output::confirm_share_return& action);
     void act(const sidecar_output::run_service& action);
     void act(const sidecar_output::answer_service& action);
-    void act(const sidecar_output::give_ticket& action);
-    void act(const sidecar_output::tell_running& action);
+    void act(const sidecar_output::send_ticket& action);
+    void act(const sidecar_output::report_running& action);
     void act(const sidecar_output::ask_sidecar& action);
-    void act(const sidecar_output::give_order& action);
+    void act(const sidecar_output::send_order& action);
     void act(const sidecar_output::all_done& action);
 
     upstream_id self_;
--- a/src/stream/stream_joiner.cpp
+++ b/src/stream/stream_joiner.cpp
@@ -98,7 +98,7 @@
     return outputs;
 }
 
-void stream_joiner::change_attempt()
+void stream_joiner::switch_attempt()
 {
     held_.clear();
     held_tokens_ = 0;
--- a/src/upstream/engine_client.cpp
+++ b/src/upstream/engine_client.cpp
@@ -281,7 +281,7 @@
     read_whole(control_call(), post("/v1/cancel", cancel_body(what.engine_request)), soon(), confirm, [] {});
 }
 
-void engine_client::give_order(const sidecar_output::give_order& what)
+void engine_client::give_order(const sidecar_output::send_order& what)
 {
     http::call_limits limits;
     limits.connect_timeout = options_.connect_timeout;
--- a/src/upstream/engine_client.h
+++ b/src/upstream/engine_client.h
@@ -45,7 +45,7 @@
     /// Closes a stream's connection and cancels it at the engine.
     void cancel_stream(const sidecar_output::cancel_stream& what);
     /// Gives the engine an order and reports how it went.
-    void give_order(const sidecar_output::give_order& what);
+    void give_order(const sidecar_output::send_order& what);
 
 private:
     struct stream
--- a/src/upstream/engine_json.cpp
+++ b/src/upstream/engine_json.cpp
@@ -71,7 +71,8 @@
 {
     // A short prompt takes so little that letting it wait would help nobody, and it counts as a short one for
     // its caller.
-    const bool can_wait = spec.standing == priority::overnight && spec.size != length_class::interactive;
+    const bool can_wait =
+        spec.request_priority == priority::overnight && spec.size != length_class::interactive;
     return can_wait ? overnight_engine_priority : engine_priority(spec.size);
 }
 
@@ -262,10 +263,10 @@
         return unreadable("state");
     }
     sidecar_input::engine_reported report;
-    report.word.start = incarnation(static_cast<std::uint64_t>(number_of(state, "start")));
-    report.word.cold = flag_of(state, "cold");
-    report.word.queued_prefill = number_of(load->as_object(), "queued_prefill");
-    report.word.age = duration(number_of(load->as_object(), "age_us"));
+    report.status.start = incarnation(static_cast<std::uint64_t>(number_of(state, "start")));
+    report.status.cold = flag_of(state, "cold");
+    report.status.queued_prefill = number_of(load->as_object(), "queued_prefill");
+    report.status.age = duration(number_of(load->as_object(), "age_us"));
     report.memory_used = number_of(load->as_object(), "memory_used");
     report.held = holdings_of(state);
     report.view = view_of(state);
--- a/src/upstream/service_client.cpp
+++ b/src/upstream/service_client.cpp
@@ -50,7 +50,7 @@
                     number, {static_cast<int>(answer.status), answer.content_type, answer.body}});
                 return;
             }
-            events_(sidecar_input::service_broken{number, how != http::call_end::not_sent});
+            events_(sidecar_input::service_failed{number, how != http::call_end::not_sent});
         });
     const auto call = std::make_shared<http::http_call>(context_, server_, limits);
     call->start(request_of(what.spec), what.not_after, std::move(handlers));
--- a/tests/admission/permit_controller_fixture.h
+++ b/tests/admission/permit_controller_fixture.h
@@ -20,13 +20,14 @@
 }
 
 inline auto ask_of(const std::string& gateway, work_cost cost,
-                   length_class size_class = length_class::interactive) -> permit_ask
+                   length_class size_class = length_class::interactive) -> permit_request
 {
     return {process_id(gateway), size_class, cost, cost};
 }
 
 /// The lease that an ask leads to, if it is granted.
-inline auto granted(permit_controller& gate, instant now, const permit_ask& ask) -> std::optional<lease_id>
+inline auto granted(permit_controller& gate, instant now, const permit_request& ask)
+    -> std::optional<lease_id>
 {
     const auto answer = gate.ask(now, ask);
     const auto* held = std::get_if<permit>(&answer);
@@ -34,7 +35,7 @@
 }
 
 /// The refusal that an ask leads to, if it is refused.
-inline auto refused(permit_controller& gate, instant now, const permit_ask& ask) -> std::optional<refusal>
+inline auto refused(permit_controller& gate, instant now, const permit_request& ask) -> std::optional<refusal>
 {
     const auto answer = gate.ask(now, ask);
     const auto* said = std::get_if<refusal>(&answer);
--- a/tests/bench/account_share_bench.cpp
+++ b/tests/bench/account_share_bench.cpp
@@ -3,7 +3,7 @@
 // death; and how many asks for shares one gateway of 2, 8, 32 and 410 sends for 1,500 accounts, with their
 // bytes.
 
-#include "limit/limiter_world.h"
+#include "limit/limiter_simulation.h"
 #include "peer.pb.h"
 
 #include <cstdio>
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr double limit = limiter_world::limit;
+constexpr double limit = limiter_simulation::limit;
 /// gRPC and HTTP/2 frames and header fields that repeat, and TCP and IP headers of two segments each way.
 constexpr std::size_t call_overhead = 350;
 
@@ -24,7 +24,7 @@
 
 void measure_error(std::size_t size)
 {
-    limiter_world even(size, 1);
+    limiter_simulation even(size, 1);
     std::fill(even.demand.begin(), even.demand.end(), 3 * limit / static_cast<double>(size));
     even.run(20s);
     const auto peace = even.run(60s);
@@ -41,7 +41,7 @@
     even.spread_membership();
     const auto after_death = even.run(8s);
     const auto later = even.run(60s);
-    limiter_world one(size, 2);
+    limiter_simulation one(size, 2);
     one.demand[0] = 3 * limit;
     one.run(20s);
     const auto alone = one.run(60s);
@@ -54,7 +54,7 @@
 {
     bundle value;
     for (std::size_t at = 0; at < accounts; ++at) {
-        value.accounts.push_back(limiter_world::sample(14).accounts.front());
+        value.accounts.push_back(limiter_simulation::sample(14).accounts.front());
         value.accounts.back().id = client_account_id("account-" + std::to_string(at));
     }
     std::vector<process_id> gateways;
--- a/tests/bench/heartbeat_bench.cpp
+++ b/tests/bench/heartbeat_bench.cpp
@@ -60,7 +60,7 @@
             const auto sink = [this](link_event event) { note(std::move(event)); };
             links_.emplace(upstream.id, std::make_unique<gateway::sidecar_link>(
                                             runtime::now(), upstream, process_id("gateway-entry-17"),
-                                            heartbeat_times{}, sink, calls_));
+                                            heartbeat_options{}, sink, calls_));
         }
     }
     ~gateway_links()
--- a/tests/bench/rig_traffic.h
+++ b/tests/bench/rig_traffic.h
@@ -162,9 +162,9 @@
     made.request = request_id(std::to_string(request.id));
     made.account = request.account;
     made.model = model_id("m");
-    made.standing = request.priority == work_priority::urgent   ? priority::doorstep
-                    : request.priority == work_priority::normal ? priority::standard
-                                                                : priority::overnight;
+    made.request_priority = request.priority == work_priority::urgent   ? priority::doorstep
+                            : request.priority == work_priority::normal ? priority::standard
+                                                                        : priority::overnight;
     made.prompt_tokens = request.prompt;
     made.max_tokens = request.output;
     made.time_limit = request.limit;
--- a/tests/bench/rig_world.h
+++ b/tests/bench/rig_world.h
@@ -114,7 +114,7 @@
             states_[id].ended = true;
             return;
         }
-        states_[id].paused = std::holds_alternative<hold_work>(answer);
+        states_[id].paused = std::holds_alternative<defer_work>(answer);
         outcomes_[id].paused = states_[id].paused;
         live_.push_back(id);
         if (!states_[id].paused) {
--- a/tests/bundle/bundle_source_test.cpp
+++ b/tests/bundle/bundle_source_test.cpp
@@ -38,7 +38,7 @@
     cr_assert(value.models[0].adapters.size() == 2);
     cr_assert(value.service_routes[0].remember_for == 10min && !value.service_routes[0].idempotent);
     cr_assert(value.accounts[0].requests_per_second == 0.5);
-    cr_assert(value.accounts[0].standing == priority::doorstep);
+    cr_assert(value.accounts[0].request_priority == priority::doorstep);
 }
 
 Test(bundle_source, reports_every_mistake_at_once_with_its_line)
--- a/tests/direct/reading_plan_test.cpp
+++ b/tests/direct/reading_plan_test.cpp
@@ -44,7 +44,7 @@
     const auto choice =
         engine_dispatch(sample_figures(), tight_pause).choose(long_call(210'000, -100ms), all).choice;
     cr_assert(choice.has_value());
-    cr_assert(in_hand(engine_named(all, choice->upstream)) == 0, "%s writes", choice->upstream.c_str());
+    cr_assert(in_flight(engine_named(all, choice->upstream)) == 0, "%s writes", choice->upstream.c_str());
 }
 
 // All engines write a few short streams when a review of 100,000 tokens comes. No part was short enough for a
--- a/tests/gang/gang_schedule_test.cpp
+++ b/tests/gang/gang_schedule_test.cpp
@@ -42,10 +42,10 @@
 
 /// Some planners before the same engines, with a network between them that loses, delays, doubles and
 /// reorders.
-class gang_world
+class gang_simulation
 {
 public:
-    gang_world(std::uint64_t seed, const schedule& rules)
+    gang_simulation(std::uint64_t seed, const schedule& rules)
         : random_(seed)
         , rules_(rules)
         , bag_(seed, rules.network)
@@ -272,7 +272,8 @@
     // Cause: any of the above at once.
     const char* const filter = "step__gang_reserve/fault__two_faults__schedule";
     run_schedules(40, "test_gang", filter, [](std::uint64_t seed) {
-        gang_world world(seed, {{.drop = 0.05, .duplicate = 0.05, .late = 0.05}, 0.002, 0.01, 0.3, 0.01});
+        gang_simulation world(seed,
+                              {{.drop = 0.05, .duplicate = 0.05, .late = 0.05}, 0.002, 0.01, 0.3, 0.01});
         return world.run();
     });
 }
@@ -283,7 +284,7 @@
     // engines, with messages in any order and none lost. Cause: deadlock, or everyone giving way to everyone.
     const char* const filter = "step__gang_reserve/fault__message_reordered__progress";
     run_schedules(40, "test_gang", filter, [](std::uint64_t seed) -> std::optional<std::string> {
-        gang_world world(seed, {{.late = 0.05, .late_delay = 200ms}, 0.0, 0.0, 0.0, 0.01});
+        gang_simulation world(seed, {{.late = 0.05, .late_delay = 200ms}, 0.0, 0.0, 0.0, 0.01});
         auto broken = world.run();
         if (!broken && world.settled() != world.started()) {
             broken = "a gang neither ran nor failed";
@@ -302,7 +303,7 @@
     // Cause: a gang that finds no engine free at the moment it asks, again and again; in line its turn comes.
     const char* const filter = "step__gang_reserve/fault__same_twice__starvation";
     run_schedules(40, "test_gang", filter, [](std::uint64_t seed) -> std::optional<std::string> {
-        gang_world world(seed, {{}, 0.0, 0.0, 0.7, 0.0015});
+        gang_simulation world(seed, {{}, 0.0, 0.0, 0.7, 0.0015});
         auto broken = world.run();
         if (!broken && world.readied() * 10 < world.started() * 8) {
             broken =
--- a/tests/limit/account_limiter_test.cpp
+++ b/tests/limit/account_limiter_test.cpp
@@ -1,5 +1,5 @@
 #include "dragonflymill/limit/account_limiter.h"
-#include "limiter_world.h"
+#include "limiter_simulation.h"
 #include "support/fault_cell.h"
 
 #include <algorithm>
@@ -9,12 +9,12 @@
 
 namespace {
 
-constexpr double limit = limiter_world::limit;
+constexpr double limit = limiter_simulation::limit;
 
 // The stated bound, with what a burst and a first request at each gateway add in a short run.
 constexpr double partition_bound = 1.5 * 1.1;
 
-void ask_too_much(limiter_world& world)
+void ask_too_much(limiter_simulation& world)
 {
     std::fill(world.demand.begin(), world.demand.end(), 3 * limit / static_cast<double>(world.demand.size()));
 }
@@ -23,7 +23,7 @@
 
 Test(account_limiter, all_gateways_together_admit_the_limit)
 {
-    limiter_world world(10, 1);
+    limiter_simulation world(10, 1);
     ask_too_much(world);
     world.run(20s);
     const auto rate = world.run(30s);
@@ -32,7 +32,7 @@
 
 Test(account_limiter, the_gateway_with_the_demand_gets_the_share)
 {
-    limiter_world world(10, 2);
+    limiter_simulation world(10, 2);
     ask_too_much(world);
     std::fill(world.demand.begin() + 1, world.demand.end(), 1);
     world.demand[0] = 3 * limit;
@@ -44,7 +44,7 @@
 
 Test(account_limiter, what_stays_below_the_limit_is_never_refused)
 {
-    limiter_world world(10, 3);
+    limiter_simulation world(10, 3);
     std::fill(world.demand.begin(), world.demand.end(), 0.5 * limit / 10);
     world.run(20s);
     const auto rate = world.run(30s);
@@ -54,7 +54,7 @@
 Test(account_limiter, same_inputs_give_the_same_admissions)
 {
     const auto counts = [] {
-        limiter_world world(7, 4);
+        limiter_simulation world(7, 4);
         world.loss = 0.2;
         ask_too_much(world);
         world.run(20s);
@@ -65,12 +65,12 @@
 
 Test(account_limiter, tokens_and_requests_under_way_are_limited_too)
 {
-    account_limiter limiter({.self = limiter_world::name(0)}, instant{});
-    auto value = limiter_world::sample();
+    account_limiter limiter({.self = limiter_simulation::name(0)}, instant{});
+    auto value = limiter_simulation::sample();
     value.accounts.front().max_in_flight = 2;
     value.accounts.front().tokens_per_second = 1'000;
     limiter.bundle_adopted(instant{}, value);
-    const auto account = limiter_world::account();
+    const auto account = limiter_simulation::account();
     cr_assert(!limiter.admit(instant{}, account, 900));
     cr_assert(!limiter.admit(instant{}, account, 5'000), "a prompt may be larger than what is saved up");
     cr_assert(limiter.admit(instant{}, account, 1)->code == refusal_code::account_limit, "two are under way");
@@ -83,11 +83,11 @@
 
 Test(account_limiter, a_new_bundle_changes_the_limit_at_once)
 {
-    limiter_world world(5, 5);
+    limiter_simulation world(5, 5);
     ask_too_much(world);
     world.run(20s);
     for (auto& limiter : world.limiters) {
-        limiter.bundle_adopted(world.now, limiter_world::sample(limit / 4));
+        limiter.bundle_adopted(world.now, limiter_simulation::sample(limit / 4));
     }
     const auto rate = world.run(20s);
     cr_assert(rate < 0.3 * limit, "%f", rate);
@@ -97,16 +97,16 @@
 {
     constexpr std::size_t account_count = 300;
     constexpr std::size_t gateway_count = 4;
-    account_limiter limiter({.self = limiter_world::name(0)}, instant{});
+    account_limiter limiter({.self = limiter_simulation::name(0)}, instant{});
     bundle value;
     for (std::size_t at = 0; at < account_count; ++at) {
-        value.accounts.push_back(limiter_world::sample().accounts.front());
+        value.accounts.push_back(limiter_simulation::sample().accounts.front());
         value.accounts.back().id = client_account_id("a" + std::to_string(at));
     }
     limiter.bundle_adopted(instant{}, value);
     std::vector<process_id> gateways;
     for (std::size_t at = 0; at < gateway_count; ++at) {
-        gateways.push_back(limiter_world::name(at));
+        gateways.push_back(limiter_simulation::name(at));
     }
     limiter.gateways_changed(instant{}, gateways, gateway_count);
     for (const auto& account : value.accounts) {
@@ -127,7 +127,7 @@
 
 Test(account_limiter, steady_demand_is_told_once_in_half_a_lease)
 {
-    limiter_world world(2, 12);
+    limiter_simulation world(2, 12);
     std::fill(world.demand.begin(), world.demand.end(), 0.4 * limit);
     world.run(20s);
     world.asks = 0;
@@ -140,7 +140,7 @@
     // Callers of a gateway that has just been started are refused for seconds although their account is far
     // from its limit there. Order: one gateway holds the whole limit on a lease; another joins, asks, and is
     // granted nothing until that lease is dealt anew. Cause: all of the limit was out on leases.
-    limiter_world world(10, 13);
+    limiter_simulation world(10, 13);
     const auto busy = world.home(0) == 3 ? 4U : 3U;
     const auto joins = world.home(0) == 5 ? 6U : 5U;
     world.demand[busy] = 3 * limit;
@@ -158,7 +158,7 @@
     // The partner sees an account get at most one and a half times its limit while gateways are cut off.
     // Order: four of ten gateways lose the others, at once for their asks, later by membership; then it
     // heals. Cause: nobody can count together; leases run out, and the smaller part keeps to its equal parts.
-    limiter_world world(10, 6);
+    limiter_simulation world(10, 6);
     ask_too_much(world);
     world.run(20s);
     std::fill_n(world.side.begin(), 4, 1);
@@ -180,7 +180,7 @@
     // The partner sees an account get its limit once, not twice, when the fleet is cut in two halves.
     // Order: five of ten gateways lose the other five; neither half is a majority.
     // Cause: each half knows how many there should be and grants no more than its equal parts.
-    limiter_world world(10, 7);
+    limiter_simulation world(10, 7);
     ask_too_much(world);
     world.run(20s);
     std::fill_n(world.side.begin(), 5, 1);
@@ -195,7 +195,7 @@
     // Callers of a gateway whose asks are lost get an equal part, no less and no more.
     // Order: the gateway sees everyone alive, but no answer from the home reaches it.
     // Cause: a link is broken one way; the lease runs out.
-    limiter_world world(10, 8);
+    limiter_simulation world(10, 8);
     ask_too_much(world);
     world.run(20s);
     const auto cut = world.home(0) == 3 ? 4U : 3U;
@@ -212,7 +212,7 @@
     // Order: the home dies; its leases run on; the next home renews only what is held until they have run
     // out.
     // Cause: a new home remembers nothing and would grant the whole limit a second time.
-    limiter_world world(10, 9);
+    limiter_simulation world(10, 9);
     const auto home = world.home(0);
     const auto busy = home == 3 ? 4U : 3U;
     const auto next = home == 5 ? 6U : 5U;
@@ -235,7 +235,7 @@
     // The partner sees no second limit from a gateway that slept with a large share.
     // Order: the gateway with most of the demand is paused past its lease; others take its share; it wakes.
     // Cause: its lease ran out while it slept; only its equal part is left.
-    limiter_world world(10, 10);
+    limiter_simulation world(10, 10);
     ask_too_much(world);
     const auto sleeper = world.home(0) == 5 ? 6U : 5U;
     world.demand[sleeper] = 10 * limit;
@@ -243,7 +243,7 @@
     world.paused[sleeper] = true;
     world.run(20s);
     world.paused[sleeper] = false;
-    world.run(limiter_world::tick_length);
+    world.run(limiter_simulation::tick_length);
     cr_assert(world.admitted_at[sleeper] < 0.15 * limit, "no more than an equal part's burst");
     const auto rate = world.run(2s);
     cr_assert(rate < 1.3 * limit, "%f", rate);
@@ -254,7 +254,7 @@
     // Callers get nearly the whole limit although a fifth of the asks are lost.
     // Order: asks are lost at random; leases hold for three ask intervals.
     // Cause: a lossy network.
-    limiter_world world(10, 11);
+    limiter_simulation world(10, 11);
     world.loss = 0.2;
     ask_too_much(world);
     world.run(20s);
@@ -267,10 +267,10 @@
     // The partner sees no more than the limit when a grant arrives long after it was given.
     // Order: a gateway asks, is granted the whole, and the answer arrives after the lease has run out.
     // Cause: answers wait in queues; a lease counts from the asking.
-    account_limiter limiter({.self = limiter_world::name(0)}, instant{});
-    limiter.bundle_adopted(instant{}, limiter_world::sample());
-    limiter.gateways_changed(instant{}, {limiter_world::name(0), limiter_world::name(1)}, 2);
-    const auto account = limiter_world::account();
+    account_limiter limiter({.self = limiter_simulation::name(0)}, instant{});
+    limiter.bundle_adopted(instant{}, limiter_simulation::sample());
+    limiter.gateways_changed(instant{}, {limiter_simulation::name(0), limiter_simulation::name(1)}, 2);
+    const auto account = limiter_simulation::account();
     cr_assert(!limiter.admit(instant{}, account, 1));
     const auto asked = limiter.tick(instant{} + 1s);
     cr_assert(asked.size() == 1 && asked.front().requests.size() == 1);
@@ -286,10 +286,10 @@
     // The partner sees more than the limit: a gateway goes on with the whole of it after its lease.
     // Order: a gateway asks, and asks again; the home's second answer leaves it a tenth, its first one, with
     // the whole, comes last. Cause: an answer was counted from the newest ask, whichever it answered.
-    account_limiter limiter({.self = limiter_world::name(0)}, instant{});
-    limiter.bundle_adopted(instant{}, limiter_world::sample());
-    limiter.gateways_changed(instant{}, {limiter_world::name(0), limiter_world::name(1)}, 2);
-    const auto account = limiter_world::account();
+    account_limiter limiter({.self = limiter_simulation::name(0)}, instant{});
+    limiter.bundle_adopted(instant{}, limiter_simulation::sample());
+    limiter.gateways_changed(instant{}, {limiter_simulation::name(0), limiter_simulation::name(1)}, 2);
+    const auto account = limiter_simulation::account();
     const auto ask_at = [&](instant now) {
         cr_assert(!limiter.admit(now, account, 1));
         const auto asked = limiter.tick(now);
@@ -317,13 +317,15 @@
     // Cause: the network doubles, or the asker tries again.
     share_home home;
     const share_rules rules{6s, 1, 0.5, false};
-    const auto first = home.grant(instant{}, {limiter_world::account(), limiter_world::name(0), 1, 0}, rules);
+    const auto first =
+        home.grant(instant{}, {limiter_simulation::account(), limiter_simulation::name(0), 1, 0}, rules);
     const auto second =
-        home.grant(instant{}, {limiter_world::account(), limiter_world::name(0), 1, 0}, rules);
+        home.grant(instant{}, {limiter_simulation::account(), limiter_simulation::name(0), 1, 0}, rules);
     cr_assert(first.part == 1 && second.part == 1);
-    const auto other = home.grant(instant{}, {limiter_world::account(), limiter_world::name(1), 9, 0}, rules);
+    const auto other =
+        home.grant(instant{}, {limiter_simulation::account(), limiter_simulation::name(1), 9, 0}, rules);
     cr_assert(other.part == 0, "all of it is out on a lease");
     const auto later =
-        home.grant(instant{} + 6s, {limiter_world::account(), limiter_world::name(1), 9, 0}, rules);
+        home.grant(instant{} + 6s, {limiter_simulation::account(), limiter_simulation::name(1), 9, 0}, rules);
     cr_assert(later.part == 1);
 }
--- a/tests/limit/limiter_world.h
+++ b/tests/limit/limiter_simulation.h
@@ -9,13 +9,13 @@
 namespace dragonflymill::test {
 
 /// Some gateways that serve one account, whose messages reach those on the same side of a partition.
-class limiter_world
+class limiter_simulation
 {
 public:
     static constexpr duration tick_length = 50ms;
     static constexpr double limit = 200;
 
-    limiter_world(std::size_t size, std::uint64_t seed)
+    limiter_simulation(std::size_t size, std::uint64_t seed)
         : demand(size, 0)
         , side(size, 0)
         , paused(size, false)
--- a/tests/once/once_faults_test.cpp
+++ b/tests/once/once_faults_test.cpp
@@ -152,14 +152,14 @@
     const std::vector<upstream_id> configured{upstream_id("b1"), upstream_id("b2"), upstream_id("b3")};
     std::vector<upstream_id> turned(configured.rbegin(), configured.rend());
     for (std::uint64_t i = 0; i < 100; ++i) {
-        const std::uint64_t key = home_key(slots, client_account_id("a"), std::to_string(i));
+        const std::uint64_t key = home_hash(slots, client_account_id("a"), std::to_string(i));
         cr_assert(home_of(key, configured) == home_of(key, turned));
     }
     // The upstream that is not the home refuses to run it, whoever asks.
     once_ledger ledger(ledger_options(1));
     ledger.renew_own_lease(at(1'000s));
     once_call call = by_key(timed_key(60s, 1));
-    std::get<key_name>(call.name).home_here = false;
+    std::get<key_name>(call.name).is_home = false;
     cr_assert(ledger.submit(at(61s), call) == unknown(unknown_reason::not_home));
 }
 
@@ -177,7 +177,7 @@
     const std::string fresh = timed_key(320s, 3);
     const auto call_at_home = [&](const std::string& key) {
         once_call call = by_key(key);
-        const std::uint64_t number = home_key(slots, call.owner.account, key);
+        const std::uint64_t number = home_hash(slots, call.owner.account, key);
         std::get<key_name>(call.name).other_home_until = homes.other_home_until(slots, number);
         return call;
     };
@@ -307,7 +307,7 @@
     // The sidecar is paused until the outcome of a booking is over. The caller's wish to void it, sent in
     // time, waits in its socket. It must find the booking still remembered, not be told that it never ran.
     once_ledger_options options = ledger_options(1);
-    options.own_pause = 1s;
+    options.pause_threshold = 1s;
     options.predecessor_lease = 0s;
     once_ledger ledger(options);
     ledger.renew_own_lease(at(100'000s));
@@ -326,7 +326,7 @@
     // The sidecar is replaced while a caller's retry is on its way, and the successor is paused for as long
     // as outcomes are remembered. On waking it finds the retry in its socket: old as it looks, it is not new.
     once_ledger_options options = ledger_options(2);
-    options.own_pause = 1s;
+    options.pause_threshold = 1s;
     once_ledger successor(options);
     successor.tick(at(5s));
     successor.renew_own_lease(at(5'000s));
@@ -349,7 +349,7 @@
     // The sidecar is paused for a minute right after it issued a ticket. The caller submitted it in time, and
     // that waits in the sidecar's socket: it runs, once, when the sidecar wakes.
     once_ledger_options options = ledger_options(1);
-    options.own_pause = 1s;
+    options.pause_threshold = 1s;
     once_ledger ledger(options);
     const once_call call = by_ticket(mint(ledger, at(0s)));
     cr_assert(send(ledger, at(60s), call));
--- a/tests/once/once_fixture.h
+++ b/tests/once/once_fixture.h
@@ -32,7 +32,7 @@
     options.started = at(started);
     options.started_wall = wall_start + started;
     options.ticket_key = "a key of the tests";
-    options.own_pause = 24h; // the clock of most tests jumps
+    options.pause_threshold = 24h; // the clock of most tests jumps
     return options;
 }
 
--- a/tests/once/once_ledger_test.cpp
+++ b/tests/once/once_ledger_test.cpp
@@ -151,8 +151,8 @@
     int moved = 0;
     int stayed = 0;
     for (std::uint64_t i = 0; i < 300; ++i) {
-        const std::uint64_t key = home_key(route, client_account_id("a"), std::to_string(i));
-        if (!home.home_here(route, key)) {
+        const std::uint64_t key = home_hash(route, client_account_id("a"), std::to_string(i));
+        if (!home.is_home(route, key)) {
             continue;
         }
         const instant until = *home.other_home_until(route, key);
--- a/tests/once/once_schedule_test.cpp
+++ b/tests/once/once_schedule_test.cpp
@@ -133,7 +133,7 @@
         once_ledger_options options = ledger_options(sidecars_.size() + 1, now.time_since_epoch());
         options.started_wall += skew;
         options.predecessor_lease = 4s;
-        options.own_pause = 1s;
+        options.pause_threshold = 1s;
         own_lease_options lease;
         lease.self = options.self;
         sidecars_.push_back(std::make_unique<sidecar>(options, lease));
--- a/tests/order/order_tracker_test.cpp
+++ b/tests/order/order_tracker_test.cpp
@@ -52,7 +52,7 @@
 {
     order_tracker keeper(options(), 1);
     keeper.declare(at(0s), wanted(1, {new_model}));
-    keeper.engine_read(view(5s, {}));
+    keeper.engine_state_received(view(5s, {}));
     keeper.replicas(new_model, alone(5s));
     keeper.renew_own_lease(at(1'000s));
     return keeper;
@@ -79,7 +79,7 @@
         now_is.adapters =
             kind == order_kind::load_adapter ? std::vector{adapter_id("a")} : std::vector<adapter_id>{};
         now_is.fence = order->fence;
-        keeper.engine_read(now_is);
+        keeper.engine_state_received(now_is);
     }
     cr_assert(waits(keeper.next(now_is.asked), order_wait::in_force));
     cr_assert(keeper.engine_fences());
@@ -88,7 +88,7 @@
 Test(order_tracker, what_is_not_declared_any_more_goes_first)
 {
     order_tracker keeper = ready_keeper();
-    keeper.engine_read(view(6s, {old_model}));
+    keeper.engine_state_received(view(6s, {old_model}));
     keeper.replicas(old_model, {at(6s), 0, 0, 0, false});
     const auto order = order_of(keeper.next(at(6s)));
     cr_assert(order && order->kind == order_kind::unload_model && order->model == old_model);
@@ -118,7 +118,7 @@
     order_tracker successor(options(), 2);
     successor.declare(at(0s), wanted(1, {new_model}));
     successor.renew_own_lease(at(1'000s));
-    successor.engine_read(view(1s, {new_model}));
+    successor.engine_state_received(view(1s, {new_model}));
     cr_assert(waits(successor.next(at(1s)), order_wait::predecessor), "an order beside the predecessor's");
     cr_assert(waits(successor.next(at(5s)), order_wait::in_force));
 }
@@ -142,7 +142,7 @@
     // never outbids the newer bundle's number.
     order_tracker keeper = ready_keeper();
     const std::uint64_t newer = (7ULL << 32U) | 5U;
-    keeper.engine_read(view(6s, {}, newer));
+    keeper.engine_state_received(view(6s, {}, newer));
     cr_assert(waits(keeper.next(at(6s)), order_wait::superseded));
     cr_assert(keeper.fence().value() < newer);
     keeper.declare(at(7s), wanted(7, {new_model}));
@@ -169,7 +169,7 @@
     // clock was wrong.
     order_tracker successor = ready_keeper();
     const std::uint64_t ahead = (1ULL << 32U) | (start + 50U);
-    successor.engine_read(view(6s, {}, ahead));
+    successor.engine_state_received(view(6s, {}, ahead));
     cr_assert(order_of(successor.next(at(6s)))->fence.value() == ahead + 1);
 }
 
@@ -201,7 +201,7 @@
     // Two bundles in a row unload the same model everywhere. The replica that others' requests need is kept
     // until another one has the model.
     order_tracker keeper = ready_keeper();
-    keeper.engine_read(view(6s, {old_model}));
+    keeper.engine_state_received(view(6s, {old_model}));
     keeper.replicas(old_model, {at(6s), 2, 0, 1, false});
     cr_assert(waits(keeper.next(at(6s)), order_wait::others_loading));
     keeper.declare(at(7s), wanted(2, {new_model}));
@@ -219,7 +219,7 @@
     cr_assert(keeper.sending(at(6s), *order));
     cr_assert(waits(keeper.next(at(65s)), order_wait::answer));
     cr_assert(waits(keeper.next(at(67s)), order_wait::no_view));
-    keeper.engine_read(view(70s, {new_model}));
+    keeper.engine_state_received(view(70s, {new_model}));
     cr_assert(waits(keeper.next(at(75s)), order_wait::in_force));
 }
 
@@ -231,10 +231,10 @@
     const auto order = order_of(keeper.next(at(6s)));
     cr_assert(keeper.sending(at(6s), *order));
     keeper.answered(at(10s), order_result::done);
-    keeper.engine_read(view(9s, {}));
+    keeper.engine_state_received(view(9s, {}));
     cr_assert(waits(keeper.next(at(11s)), order_wait::no_view));
-    keeper.engine_read(view(11s, {new_model}));
-    keeper.engine_read(view(9s, {}));
+    keeper.engine_state_received(view(11s, {new_model}));
+    keeper.engine_state_received(view(9s, {}));
     cr_assert(waits(keeper.next(at(12s)), order_wait::in_force));
 }
 
@@ -246,11 +246,11 @@
     const auto first = order_of(keeper.next(at(6s)));
     cr_assert(keeper.sending(at(6s), *first));
     keeper.answered(at(7s), order_result::done);
-    keeper.engine_read(view(8s, {new_model}, first->fence.value()));
+    keeper.engine_state_received(view(8s, {new_model}, first->fence.value()));
     cr_assert(waits(keeper.next(at(8s)), order_wait::in_force));
     engine_view restarted = view(10s, {});
     restarted.start = incarnation(2);
-    keeper.engine_read(restarted);
+    keeper.engine_state_received(restarted);
     keeper.replicas(new_model, alone(10s));
     const auto again = order_of(keeper.next(at(10s)));
     cr_assert(again && again->fence >= first->fence);
@@ -264,7 +264,7 @@
     const auto order = order_of(keeper.next(at(6s)));
     cr_assert(keeper.sending(at(6s), *order));
     keeper.answered(at(7s), order_result::fenced);
-    keeper.engine_read(view(8s, {}));
+    keeper.engine_state_received(view(8s, {}));
     cr_assert(keeper.superseded());
     cr_assert(waits(keeper.next(at(500s)), order_wait::superseded));
 }
@@ -277,7 +277,7 @@
     const auto order = order_of(keeper.next(at(6s)));
     cr_assert(keeper.sending(at(6s), *order));
     keeper.answered(at(7s), order_result::done);
-    keeper.engine_read(view(9s, {}, order->fence.value() + 30));
+    keeper.engine_state_received(view(9s, {}, order->fence.value() + 30));
     cr_assert(waits(keeper.next(at(9s)), order_wait::superseded));
     cr_assert(keeper.fence() == order->fence);
 }
@@ -297,7 +297,7 @@
         const instant refused = now;
         while (!order_of(keeper.next(now))) {
             now += 100ms;
-            keeper.engine_read({now, incarnation(1), {}, {}, engine_role::both, fencing_number(0)});
+            keeper.engine_state_received({now, incarnation(1), {}, {}, engine_role::both, fencing_number(0)});
             keeper.replicas(new_model, {now, 1, 0, 0, true});
         }
         gaps.push_back(now - refused);
--- a/tests/serve/gang_world.h
+++ b/tests/serve/gang_simulation.h
@@ -16,7 +16,7 @@
 
 /// Gateways, sidecars and engines on a virtual clock: the real cores with a fake engine beside each sidecar.
 /// Tries travel on connections that keep their order until they break; calls about shares may be lost.
-class gang_world
+class gang_simulation
 {
 public:
     static constexpr token_count memory = 100'000;
@@ -53,8 +53,8 @@
     std::map<exchange_number, answer> answers;
 
     /// Sidecars that have just started let in `cold` tokens.
-    gang_world(std::size_t gateways, std::size_t engine_count, std::uint64_t seed = 1,
-               message_bag_rules rules = {}, token_count cold = memory)
+    gang_simulation(std::size_t gateways, std::size_t engine_count, std::uint64_t seed = 1,
+                    message_bag_rules rules = {}, token_count cold = memory)
         : engines(engine_count)
         , cold_(cold)
         , share_calls_(seed, rules)
@@ -195,7 +195,7 @@
         token_count sum = 0;
         for (std::size_t i = 0; i < engines.size(); ++i) {
             sum += sidecars_[i]->load(now).outstanding;
-            sum += static_cast<token_count>(sidecars_[i]->in_hand());
+            sum += static_cast<token_count>(sidecars_[i]->in_flight());
             sum += memory_of(engines[i]);
         }
         return sum;
@@ -293,8 +293,8 @@
     {
         for (std::size_t i = 0; i < engines.size(); ++i) {
             sidecar_input::engine_reported word;
-            word.word.start = incarnation(engines[i].start);
-            word.word.cold = std::exchange(engines[i].says_cold, false);
+            word.status.start = incarnation(engines[i].start);
+            word.status.cold = std::exchange(engines[i].says_cold, false);
             word.memory_used = memory_of(engines[i]);
             for (const auto& [name, tokens] : engines[i].spans) {
                 word.held.push_back({name, tokens, true});
@@ -307,8 +307,8 @@
             feed_sidecar(i, word);
             for (std::size_t g = 0; g < gateways_.size(); ++g) {
                 if (gateways_[g]) {
-                    feed_sidecar(i, sidecar_input::gateway_heard{process_id("g" + std::to_string(g))});
-                    feed(g, gateway_input::load_heard{upstream_of(i), sidecars_[i]->load(now)});
+                    feed_sidecar(i, sidecar_input::gateway_heartbeat{process_id("g" + std::to_string(g))});
+                    feed(g, gateway_input::load_reported{upstream_of(i), sidecars_[i]->load(now)});
                 }
             }
         }
@@ -444,17 +444,17 @@
         const auto given_back = given_back_.find(action.gang.request);
         cr_assert(given_back == given_back_.end() || given_back->second < action.gang.round,
                   "a repeated release of a round would end the next one");
-        send_share<sidecar_input::share_asked>(gateway, action, action);
+        send_share<sidecar_input::share_requested>(gateway, action, action);
     }
     void act(std::size_t gateway, const renew_share& action)
     {
-        send_share<sidecar_input::share_renewal_asked>(gateway, action, action);
+        send_share<sidecar_input::share_renewal_requested>(gateway, action, action);
     }
     void act(std::size_t gateway, const release_share& action)
     {
         auto& given_back = given_back_[action.gang.request];
         given_back = std::max(given_back, action.gang.round);
-        send_share<sidecar_input::share_returned>(gateway, action, action.gang);
+        send_share<sidecar_input::share_release_requested>(gateway, action, action.gang);
     }
     template <typename Input, typename Wanted, typename Content>
     void send_share(std::size_t gateway, const Wanted& wanted, const Content& content)
--- a/tests/serve/gateway_core_test.cpp
+++ b/tests/serve/gateway_core_test.cpp
@@ -15,7 +15,7 @@
     const auto ended = core.step(start, gateway_input::attempt_finished{opened.key, 2, "stop"});
     cr_assert(find<gateway_output::finish>(ended)->tokens == 2);
     cr_assert(find<gateway_output::cancel_attempt>(ended) == nullptr);
-    cr_assert(core.in_hand() == 0);
+    cr_assert(core.in_flight() == 0);
 }
 
 Test(gateway_core, without_a_bundle_everything_is_refused_at_once)
@@ -206,7 +206,7 @@
     gateway_core core(start, options());
     adopt(core, small_bundle());
     auto wish = booking(1, "");
-    wish.wish = service_wish::ticket;
+    wish.operation = service_operation::ticket;
     const auto first = core.step(start, wish);
     const auto* asked_first = find<gateway_output::call_service>(first);
     cr_assert(asked_first != nullptr);
@@ -225,7 +225,7 @@
     adopt(core, small_bundle());
     const auto first = open(core, 1);
     feed(core, start, gateway_input::attempt_granted{first.key});
-    cr_assert(find<gateway_output::all_done>(core.step(start, gateway_input::stop_asked{})) == nullptr);
+    cr_assert(find<gateway_output::all_done>(core.step(start, gateway_input::stop_requested{})) == nullptr);
     const auto again = core.step(start, lost(first.key));
     const auto* second = find<gateway_output::open_attempt>(again);
     cr_assert(second != nullptr);
--- a/tests/serve/gateway_intake_test.cpp
+++ b/tests/serve/gateway_intake_test.cpp
@@ -72,7 +72,7 @@
     cr_assert(refusal_of(core.step(start, asked(2))).ran == ran_state::no);
     const auto ended = core.step(start, gateway_input::attempt_finished{running.key, 0, "stop"});
     cr_assert(find<gateway_output::finish>(ended) != nullptr);
-    cr_assert(core.in_hand() == 0);
+    cr_assert(core.in_flight() == 0);
 }
 
 FAULT_CELL(request_intake, domain_out)
@@ -94,7 +94,7 @@
     gateway_core core(start, options());
     adopt(core, bundle_for(1));
     for (std::uint64_t i = 1; i <= engine_count; ++i) {
-        gateway_input::load_heard heard{upstream_id("e" + std::to_string(i)), {}};
+        gateway_input::load_reported heard{upstream_id("e" + std::to_string(i)), {}};
         heard.load.cold = true;
         heard.load.allowed = 100;
         heard.load.outstanding = 100;
@@ -119,7 +119,7 @@
     const auto ended = core.step(start, gateway_input::attempt_finished{first.key, 0, "stop"});
     cr_assert(find<gateway_output::finish>(ended)->exchange == exchange_number(1));
     feed(core, start, gateway_input::attempt_finished{first.key, 0, "stop"});
-    cr_assert(core.in_hand() == 1);
+    cr_assert(core.in_flight() == 1);
     open(core, 3);
     cr_assert(refusal_of(core.step(start, asked(4))).code == refusal_code::account_limit);
     const auto other = core.step(start, gateway_input::attempt_finished{second.key, 0, "stop"});
@@ -140,7 +140,7 @@
         const auto left = core.step(start, gateway_input::caller_left{exchange_number(i)});
         cr_assert((find<gateway_output::cancel_attempt>(left) != nullptr) == (i <= 3));
     }
-    cr_assert(core.in_hand() == 0);
+    cr_assert(core.in_flight() == 0);
     for (std::uint64_t i = 5; i <= 7; ++i) {
         open(core, i);
     }
@@ -156,7 +156,7 @@
     adopt(core, small_bundle());
     const auto first = open(core, 1);
     const auto second = open(core, 2);
-    feed(core, start, gateway_input::stop_asked{});
+    feed(core, start, gateway_input::stop_requested{});
     const auto why = refusal_of(core.step(start, asked(3)));
     cr_assert(why.code == refusal_code::overloaded);
     cr_assert(why.ran == ran_state::no);
--- a/tests/serve/gateway_overload_test.cpp
+++ b/tests/serve/gateway_overload_test.cpp
@@ -13,7 +13,7 @@
 void hear_load(gateway_core& core, instant now, token_count queued)
 {
     for (std::uint64_t i = 1; i <= engine_count; ++i) {
-        gateway_input::load_heard heard{upstream_id("e" + std::to_string(i)), {}};
+        gateway_input::load_reported heard{upstream_id("e" + std::to_string(i)), {}};
         heard.load.queued_prefill[index_of(length_class::bulk)] = queued;
         feed(core, now, heard);
     }
@@ -22,7 +22,7 @@
 auto overnight(std::uint64_t number) -> gateway_input::completion_arrived
 {
     auto made = asked(number);
-    made.standing = priority::overnight;
+    made.request_priority = priority::overnight;
     made.prompt_tokens = 50'000;
     made.time_limit = 600s;
     return made;
@@ -59,7 +59,7 @@
         const auto review = core.step(start + 1s, gateway_input::tick{});
         cr_assert(find<gateway_output::cancel_attempt>(review)->key == second.key);
         cr_assert(core.paused() == 1);
-        cr_assert(core.in_hand() == 1);
+        cr_assert(core.in_flight() == 1);
     }
     /// The queues are short again: the try that goes on.
     auto calm_down(instant now) -> gateway_output::open_attempt
@@ -209,7 +209,7 @@
     cr_assert(find<gateway_output::deliver>(rest)->offset == 2);
     const auto ended = core.step(start + 31s, gateway_input::attempt_finished{third.key, 3, "stop"});
     cr_assert(find<gateway_output::finish>(ended) != nullptr);
-    cr_assert(core.in_hand() == 0);
+    cr_assert(core.in_flight() == 0);
 }
 
 FAULT_CELL_MORE(request_resume, process_dies, paused)
@@ -253,7 +253,7 @@
     const auto over = story.core.step(start + 600s, gateway_input::tick{});
     cr_assert(find<gateway_output::refuse>(over)->why.code == refusal_code::deadline);
     cr_assert(find<gateway_output::refuse>(over)->why.ran == ran_state::unknown);
-    cr_assert(story.core.in_hand() == 0);
+    cr_assert(story.core.in_flight() == 0);
 }
 
 FAULT_CELL_MORE(request_resume, two_faults, not_run)
@@ -308,7 +308,7 @@
     cr_assert(last.spec.resume_offset == 2);
     const auto ended = story.core.step(now, gateway_input::attempt_finished{last.key, 2, "stop"});
     cr_assert(find<gateway_output::finish>(ended) != nullptr);
-    cr_assert(story.core.in_hand() == 0);
+    cr_assert(story.core.in_flight() == 0);
 }
 
 FAULT_CELL_MORE(request_cancel, message_lost, paused)
@@ -319,7 +319,7 @@
     auto& core = story.core;
     feed(core, start + 2s, gateway_input::caller_left{exchange_number(1)});
     cr_assert(core.paused() == 0);
-    cr_assert(core.in_hand() == 0);
+    cr_assert(core.in_flight() == 0);
     hear_load(core, start + 30s, 0);
     cr_assert(find<gateway_output::open_attempt>(core.step(start + 30s, gateway_input::tick{})) == nullptr);
 }
@@ -331,7 +331,7 @@
     paused_with_two_tokens story;
     auto& core = story.core;
     hear_load(core, start + 2s, far_too_much);
-    auto actions = core.step(start + 2s, gateway_input::stop_asked{});
+    auto actions = core.step(start + 2s, gateway_input::stop_requested{});
     const auto* opened = find<gateway_output::open_attempt>(actions);
     cr_assert(opened != nullptr);
     cr_assert(find<gateway_output::all_done>(actions) == nullptr);
--- a/tests/serve/gateway_resume_test.cpp
+++ b/tests/serve/gateway_resume_test.cpp
@@ -31,7 +31,7 @@
         cr_assert(find<gateway_output::deliver>(rest)->offset == 2);
         const auto ended = core.step(now, gateway_input::attempt_finished{key, 3, "stop"});
         cr_assert(find<gateway_output::finish>(ended)->tokens == 3);
-        cr_assert(core.in_hand() == 0);
+        cr_assert(core.in_flight() == 0);
     }
 };
 
@@ -100,7 +100,7 @@
     cr_assert(find<gateway_output::refuse>(over)->why.code == refusal_code::deadline);
     cr_assert(find<gateway_output::refuse>(over)->why.ran == ran_state::unknown);
     cr_assert(find<gateway_output::cancel_attempt>(over)->key == story.second.key);
-    cr_assert(story.core.in_hand() == 0);
+    cr_assert(story.core.in_flight() == 0);
 }
 
 FAULT_CELL(request_resume, partition)
@@ -121,7 +121,7 @@
     cr_assert(find<gateway_output::refuse>(actions) != nullptr, "before its limit of ten seconds");
     cr_assert(find<gateway_output::refuse>(actions)->why.ran == ran_state::unknown);
     cr_assert(find<gateway_output::refuse>(actions)->why.retry_after > duration::zero());
-    cr_assert(story.core.in_hand() == 0);
+    cr_assert(story.core.in_flight() == 0);
 }
 
 FAULT_CELL(request_resume, host_list_lags)
@@ -154,7 +154,7 @@
     }
     cr_assert(find<gateway_output::refuse>(actions)->why.ran == ran_state::unknown);
     cr_assert(find<gateway_output::refuse>(actions)->why.retry_after >= 700ms);
-    cr_assert(core.in_hand() == 0);
+    cr_assert(core.in_flight() == 0);
 }
 
 FAULT_CELL(request_dispatch, message_lost)
@@ -193,7 +193,7 @@
     const auto left = core.step(start, gateway_input::caller_left{exchange_number(1)});
     cr_assert(find<gateway_output::cancel_attempt>(left)->key == first.key);
     cr_assert(core.step(start, gateway_input::caller_left{exchange_number(1)}).empty());
-    cr_assert(core.in_hand() == 1);
+    cr_assert(core.in_flight() == 1);
 }
 
 FAULT_CELL(request_cancel, two_faults)
@@ -211,5 +211,5 @@
     const auto left = core.step(start, gateway_input::caller_left{exchange_number(2)});
     cr_assert(find<gateway_output::cancel_attempt>(left)->key == key);
     cr_assert(find<gateway_output::open_attempt>(core.step(start + 5s, gateway_input::tick{})) == nullptr);
-    cr_assert(core.in_hand() == 0);
+    cr_assert(core.in_flight() == 0);
 }
--- a/tests/serve/link_schedule_test.cpp
+++ b/tests/serve/link_schedule_test.cpp
@@ -11,7 +11,7 @@
 constexpr auto small = length_class::interactive;
 constexpr auto large = length_class::bulk;
 constexpr duration step = 10ms;
-const heartbeat_times times;
+const heartbeat_options times;
 
 /// A link whose sidecar answers each heartbeat at the next step, unless the connection is silent.
 class link_world
@@ -46,7 +46,7 @@
         for (const auto size : due.heartbeat) {
             ++heartbeats_on[index_of(size)];
             if (!silent[index_of(size)]) {
-                schedule.heard(now, size);
+                schedule.received(now, size);
             }
         }
     }
@@ -66,10 +66,10 @@
 {
     link_world world;
     const auto before = world.heartbeats;
-    world.schedule.work(world.now, small, 1, true);
+    world.schedule.set_in_flight(world.now, small, 1, true);
     for (duration passed{0}; passed < 60s; passed += 50ms) {
         world.run(50ms);
-        world.schedule.heard(world.now, small);
+        world.schedule.received(world.now, small);
     }
     cr_assert(world.heartbeats - before == 4, "one each 15 s of a minute, not 120");
 }
@@ -83,8 +83,8 @@
     world.schedule.opened(world.now, large);
     world.run(60s);
     world.silent[index_of(large)] = true;
-    world.schedule.work(world.now, large, 1, true);
-    world.run(times.patience());
+    world.schedule.set_in_flight(world.now, large, 1, true);
+    world.run(times.silence_timeout());
     cr_assert(world.given_up.empty(), "it has its time");
     world.run(2 * step);
     cr_assert(world.given_up == std::vector<length_class>(1, large));
@@ -98,14 +98,14 @@
     // Cause: it stays open. The gateway notices within the patience from the last word, and the work that it
     // has on another connection goes on.
     link_world world;
-    world.schedule.work(world.now, small, 1, true);
+    world.schedule.set_in_flight(world.now, small, 1, true);
     world.run(200ms);
     const auto last = world.now;
-    world.schedule.heard(last, small);
+    world.schedule.received(last, small);
     world.silent[index_of(small)] = true;
     while (world.given_up.empty()) {
         world.run(step);
-        cr_assert(world.now <= last + times.patience() + 2 * step, "too late");
+        cr_assert(world.now <= last + times.silence_timeout() + 2 * step, "too late");
     }
     cr_assert(world.state == upstream_state::suspect, "nobody else vouches for it");
     world.silent[index_of(small)] = false;
@@ -121,18 +121,18 @@
     link_world world;
     world.schedule.opened(world.now, large);
     world.run(1s);
-    world.schedule.work(world.now, large, 1, true);
+    world.schedule.set_in_flight(world.now, large, 1, true);
     const auto streaming = [&](duration time) {
         for (duration passed{0}; passed < time; passed += 50ms) {
             world.run(50ms);
-            world.schedule.heard(world.now, large);
+            world.schedule.received(world.now, large);
         }
     };
     streaming(1s);
     world.silent[index_of(small)] = true;
-    world.schedule.work(world.now, small, 1, true);
+    world.schedule.set_in_flight(world.now, small, 1, true);
     const auto before = world.heartbeats_on[index_of(large)];
-    streaming(times.patience() + 100ms);
+    streaming(times.silence_timeout() + 100ms);
     cr_assert(world.given_up == std::vector<length_class>(1, small));
     streaming(times.interval);
     cr_assert(world.heartbeats_on[index_of(large)] == before + 1, "it renews on the one that works");
@@ -145,15 +145,15 @@
     // Cause: an idle connection shows no life by itself. On a silent one the proof never comes.
     link_world world;
     world.run(1h);
-    cr_assert(!world.schedule.proven(world.now, small));
-    world.schedule.check(world.now, small);
+    cr_assert(!world.schedule.recently_alive(world.now, small));
+    world.schedule.request_heartbeat(world.now, small);
     world.run(step);
-    cr_assert(world.schedule.proven(world.now, small));
+    cr_assert(world.schedule.recently_alive(world.now, small));
     world.run(1h);
     world.silent[index_of(small)] = true;
-    world.schedule.check(world.now, small);
-    world.run(times.patience() + 2 * step);
-    cr_assert(!world.schedule.proven(world.now, small) && !world.given_up.empty());
+    world.schedule.request_heartbeat(world.now, small);
+    world.run(times.silence_timeout() + 2 * step);
+    cr_assert(!world.schedule.recently_alive(world.now, small) && !world.given_up.empty());
 }
 
 FAULT_CELL_MORE(request_dispatch, process_dies, dead_upstreams_are_asked_seldom)
@@ -163,10 +163,10 @@
     // asked each two seconds, and comes back when it answers. Cause: a failure domain was lost.
     link_world world;
     world.silent[index_of(small)] = true;
-    world.schedule.broke(world.now, small);
+    world.schedule.disconnected(world.now, small);
     world.run(step);
     cr_assert(world.state == upstream_state::suspect);
-    world.run(times.patience() + step);
+    world.run(times.silence_timeout() + step);
     cr_assert(world.state == upstream_state::dead);
     const auto before = world.heartbeats;
     world.run(60s);
--- a/tests/serve/order_dispatcher_test.cpp
+++ b/tests/serve/order_dispatcher_test.cpp
@@ -148,17 +148,18 @@
     lone_sidecar world;
     world.sidecar.feed(at(0s), declared(1, {first}));
     world.run_until(100s);
-    cr_assert(world.sidecar.core->acts(at(100s)), "a process on its own");
+    cr_assert(world.sidecar.core->holds_own_lease(at(100s)), "a process on its own");
     world.sidecar.feed(at(100s), sidecar_input::peers_changed{true});
     world.run_until(110s);
-    cr_assert(world.sidecar.core->acts(at(110s)));
+    cr_assert(world.sidecar.core->holds_own_lease(at(110s)));
     world.run_until(112s);
-    cr_assert(!world.sidecar.core->acts(at(112s)));
+    cr_assert(!world.sidecar.core->holds_own_lease(at(112s)));
     world.engine.models.clear();
     world.run_until(140s);
     cr_assert(world.engine.carried.size() == 1, "an order without a peer's word on the bundle");
-    const auto ticket = world.sidecar.core->step(at(140s), sidecar_input::ticket_asked{call_number(1), {}});
-    cr_assert(has<sidecar_output::give_ticket>(ticket));
+    const auto ticket =
+        world.sidecar.core->step(at(140s), sidecar_input::ticket_requested{call_number(1), {}});
+    cr_assert(has<sidecar_output::send_ticket>(ticket));
     world.sidecar.feed(at(140s), sidecar_input::bundle_confirmed{at(139s)});
     world.run_until(149s);
     cr_assert(world.engine.carried.size() == 2);
--- a/tests/serve/order_world.h
+++ b/tests/serve/order_world.h
@@ -54,7 +54,7 @@
             }
             load = loads.erase(load);
         }
-        report.word.start = start;
+        report.status.start = start;
         report.view = {now, start, models, {}, engine_role::both, fence};
         return report;
     }
@@ -89,7 +89,7 @@
                     feed(now, asked->second->answer(now));
                 }
             }
-            if (const auto* given = std::get_if<sidecar_output::give_order>(&action)) {
+            if (const auto* given = std::get_if<sidecar_output::send_order>(&action)) {
                 orders.push_back(*given);
                 const auto how = order_lost ? order_result::failed : engine->take(now, given->order);
                 if (!answer_lost) {
@@ -124,7 +124,7 @@
     incarnation start;                              ///< Its start.
     order_engine* engine;                           ///< Its engine.
     std::unique_ptr<sidecar_core> core;             ///< What decides.
-    std::vector<sidecar_output::give_order> orders; ///< Orders given.
+    std::vector<sidecar_output::send_order> orders; ///< Orders given.
     bool order_lost = false;                        ///< Orders don't reach the engine.
     bool answer_lost = false;                       ///< No answer to an order comes.
     instant next_report;                            ///< When the engine is read again.
--- a/tests/serve/share_coordinator_test.cpp
+++ b/tests/serve/share_coordinator_test.cpp
@@ -35,7 +35,7 @@
         -> std::vector<sidecar_action>
     {
         const reserve_share wanted{gang(round), upstream_id("u1"), tokens, 10s, 1};
-        return step(sidecar_input::share_asked{next_call(), process_id(gateway), wanted});
+        return step(sidecar_input::share_requested{next_call(), process_id(gateway), wanted});
     }
     /// Reserves a share that has to be granted.
     auto granted(token_count tokens, std::uint64_t round = 1) -> lease_id
@@ -49,11 +49,12 @@
     {
         const renew_share wanted{gang(round), upstream_id("u1"), lease, 10s, 2};
         return find<sidecar_output::grant_share>(step(
-                   sidecar_input::share_renewal_asked{next_call(), process_id("g1"), wanted})) != nullptr;
+                   sidecar_input::share_renewal_requested{next_call(), process_id("g1"), wanted})) != nullptr;
     }
     void give_back(std::uint64_t round = 1)
     {
-        const auto actions = step(sidecar_input::share_returned{next_call(), process_id("g1"), gang(round)});
+        const auto actions =
+            step(sidecar_input::share_release_requested{next_call(), process_id("g1"), gang(round)});
         cr_assert(find<sidecar_output::confirm_share_return>(actions) != nullptr);
     }
     /// Opens a try and sends its prompt; the number of its call if it reached the engine.
@@ -77,7 +78,7 @@
             now += 100ms;
             static_cast<void>(step(sidecar_input::tick{}));
             sidecar_input::engine_reported report;
-            report.word.start = incarnation(engine_start);
+            report.status.start = incarnation(engine_start);
             for (const auto& name : held) {
                 report.held.push_back({name, 50'000, true});
             }
@@ -159,7 +160,7 @@
     cr_assert(exporter.held.size() == 1);
     exporter.give_back();
     exporter.pass(1s);
-    cr_assert(exporter.held.empty() && exporter.outstanding() == 0 && exporter.core.in_hand() == 0);
+    cr_assert(exporter.held.empty() && exporter.outstanding() == 0 && exporter.core.in_flight() == 0);
 
     world decoder;
     const auto last = decoder.granted(50'000);
@@ -174,7 +175,7 @@
     cr_assert(decoder.held.size() == 1, "the imported span stands until the share is given back");
     decoder.give_back();
     decoder.pass(1s);
-    cr_assert(decoder.held.empty() && decoder.core.in_hand() == 0);
+    cr_assert(decoder.held.empty() && decoder.core.in_flight() == 0);
 }
 
 Test(share_coordinator, a_share_may_be_asked_for_again_and_is_used_once)
@@ -233,7 +234,7 @@
     refused_with(refusal_code::upstream_cold);
     static_cast<void>(sidecar.step(sidecar_input::drain_changed{true}));
     refused_with(refusal_code::draining);
-    static_cast<void>(sidecar.step(sidecar_input::stop_asked{}));
+    static_cast<void>(sidecar.step(sidecar_input::stop_requested{}));
     refused_with(refusal_code::stopping);
 }
 
@@ -249,7 +250,7 @@
     cr_assert(sidecar.held.size() == 1 && sidecar.outstanding() == 50'000, "memory still taken counts");
     sidecar.loses_releases = false;
     sidecar.pass(6s);
-    cr_assert(sidecar.held.empty() && sidecar.outstanding() == 0 && sidecar.core.in_hand() == 0);
+    cr_assert(sidecar.held.empty() && sidecar.outstanding() == 0 && sidecar.core.in_flight() == 0);
 }
 
 FAULT_CELL(gang_reserve, process_dies)
@@ -261,7 +262,7 @@
     sidecar.pass(9s);
     cr_assert(sidecar.outstanding() == 50'000);
     sidecar.pass(2s);
-    cr_assert(sidecar.outstanding() == 0 && sidecar.core.in_hand() == 0);
+    cr_assert(sidecar.outstanding() == 0 && sidecar.core.in_flight() == 0);
 }
 
 FAULT_CELL_MORE(gang_import, process_dies, decoding_gateway)
@@ -277,7 +278,7 @@
     static_cast<void>(sidecar.step(sidecar_input::cancel_confirmed{cancel->engine_request}));
     cr_assert(sidecar.outstanding() == 0);
     sidecar.pass(11s);
-    cr_assert(sidecar.held.empty() && sidecar.core.in_hand() == 0);
+    cr_assert(sidecar.held.empty() && sidecar.core.in_flight() == 0);
 }
 
 FAULT_CELL(gang_import, paused_wakes_late)
@@ -313,7 +314,7 @@
     bool cancelled = false;
     for (int i = 0; i < 110; ++i) {
         sidecar.now += 100ms;
-        static_cast<void>(sidecar.step(sidecar_input::gateway_heard{process_id("g1")}));
+        static_cast<void>(sidecar.step(sidecar_input::gateway_heartbeat{process_id("g1")}));
         const auto actions = sidecar.step(sidecar_input::tick{});
         cancelled = cancelled || find<sidecar_output::cancel_stream>(actions) != nullptr;
     }
