--- a/tests/serve/sidecar_core_test.cpp
+++ b/tests/serve/sidecar_core_test.cpp
@@ -59,7 +59,7 @@
     -> sidecar_input::engine_reported
 {
     sidecar_input::engine_reported made;
-    made.word.start = incarnation(engine_start);
+    made.status.start = incarnation(engine_start);
     made.held = std::move(held);
     return made;
 }
@@ -146,7 +146,7 @@
     // second.
     sidecar_core core(start, engine_options());
     const auto name = begin_stream(core);
-    feed(core, start + 1s, sidecar_input::gateway_heard{process_id("g1")});
+    feed(core, start + 1s, sidecar_input::gateway_heartbeat{process_id("g1")});
     const auto term = permit_controller_options{}.lease_term;
     cr_assert(tick_until_cancel(core, start + 1s, start + 900ms + term).empty());
     cr_assert(tick_until_cancel(core, start + 1s + term, start + 2s + term) == name);
@@ -198,11 +198,12 @@
     // the sidecar refuses new work, keeps the stream, and ends only after its last token.
     sidecar_core core(start, engine_options());
     begin_stream(core);
-    cr_assert(find<sidecar_output::all_done>(core.step(start + 1s, sidecar_input::stop_asked{})) == nullptr);
+    cr_assert(find<sidecar_output::all_done>(core.step(start + 1s, sidecar_input::stop_requested{})) ==
+              nullptr);
     const auto refused = core.step(start + 1s, sidecar_input::attempt_opened{call_number(2), spec("s")});
     cr_assert(find<sidecar_output::refuse_call>(refused)->why.code == refusal_code::stopping);
     cr_assert(find<sidecar_output::refuse_call>(refused)->why.ran == ran_state::no);
-    feed(core, start + 2s, sidecar_input::gateway_heard{process_id("g1")});
+    feed(core, start + 2s, sidecar_input::gateway_heartbeat{process_id("g1")});
     const auto ended = core.step(start + 2s, sidecar_input::engine_finished{call_number(1), 4, "stop"});
     cr_assert(find<sidecar_output::finish_attempt>(ended) != nullptr);
     cr_assert(find<sidecar_output::all_done>(core.step(start + 2s, sidecar_input::tick{})) != nullptr);
--- a/tests/serve/sidecar_service_test.cpp
+++ b/tests/serve/sidecar_service_test.cpp
@@ -22,8 +22,8 @@
 
 auto take_ticket(sidecar_core& core) -> std::string
 {
-    const auto given = core.step(start, sidecar_input::ticket_asked{call_number(1), booking({}, {})});
-    return find<sidecar_output::give_ticket>(given)->ticket;
+    const auto given = core.step(start, sidecar_input::ticket_requested{call_number(1), booking({}, {})});
+    return find<sidecar_output::send_ticket>(given)->ticket;
 }
 
 } // namespace
@@ -67,11 +67,11 @@
     auto question = booking(ticket, {});
     question.method = "GET";
     question.target = "/status";
-    const auto early = core.step(start, sidecar_input::status_asked{call_number(3), question});
-    cr_assert(find<sidecar_output::tell_running>(early) != nullptr);
+    const auto early = core.step(start, sidecar_input::status_requested{call_number(3), question});
+    cr_assert(find<sidecar_output::report_running>(early) != nullptr);
     const once_answer answer{200, "text/plain", "van 7"};
     static_cast<void>(core.step(start, sidecar_input::service_answered{call_number(2), answer}));
-    const auto told = core.step(start, sidecar_input::status_asked{call_number(4), question});
+    const auto told = core.step(start, sidecar_input::status_requested{call_number(4), question});
     cr_assert(find<sidecar_output::refuse_call>(told) == nullptr);
     cr_assert(find<sidecar_output::answer_service>(told)->answer.body == "van 7");
 }
--- a/tests/serve/sidecar_warm_up_test.cpp
+++ b/tests/serve/sidecar_warm_up_test.cpp
@@ -124,7 +124,7 @@
     cr_assert(find<sidecar_output::cancel_stream>(out) != nullptr);
     sidecar_core stopped(start, options());
     const auto warm_up = first_warm_up(stopped);
-    const auto stop = stopped.step(start + 1s, sidecar_input::stop_asked{});
+    const auto stop = stopped.step(start + 1s, sidecar_input::stop_requested{});
     cr_assert(find<sidecar_output::cancel_stream>(stop)->engine_request == warm_up.engine_request);
     static_cast<void>(stopped.step(start + 1s, sidecar_input::cancel_confirmed{warm_up.engine_request}));
     const auto done = stopped.step(start + 2s, sidecar_input::tick{});
--- a/tests/serve/stream_watch_test.cpp
+++ b/tests/serve/stream_stall_detector_test.cpp
@@ -18,7 +18,7 @@
 }
 
 /// Time of the first look, a step apart, at which something is silent; nothing before `end`.
-auto first_silent(stream_watch& watch, instant from, instant end) -> std::optional<instant>
+auto first_silent(stream_stall_detector& watch, instant from, instant end) -> std::optional<instant>
 {
     for (auto now = from; now < end; now += step) {
         if (!watch.silent(now, line).empty()) {
@@ -35,7 +35,7 @@
     // A caller waits for its first token. The connection between sidecar and engine has gone silent; only the
     // transport's own bound of minutes would end it. Eight times the line of a prompt of 10,000 tokens is 4
     // s.
-    stream_watch watch({});
+    stream_stall_detector watch({});
     watch.began(start, call_number(1), 10'000);
     cr_assert(!first_silent(watch, start, after(4.0)));
     cr_assert(first_silent(watch, after(4.0), after(4.1)));
@@ -44,7 +44,7 @@
 FAULT_CELL_MORE(request_stream, connection_silent, between_tokens)
 {
     // Tokens come every 20 ms, then none: the floor holds, not the first token's bound.
-    stream_watch watch({});
+    stream_stall_detector watch({});
     watch.began(start, call_number(1), 200'000);
     auto now = start;
     for (int token = 0; token < 100; ++token) {
@@ -55,11 +55,11 @@
     cr_assert(first_silent(watch, now, now + 2s + 2 * step));
 }
 
-Test(stream_watch, a_long_queue_is_no_silence_however_it_is_ordered)
+Test(stream_stall_detector, a_long_queue_is_no_silence_however_it_is_ordered)
 {
     // Forty prompts of 100,000 tokens wait at once; the engine works at a quarter of the line's speed and
     // serves the newest first, and a new one comes before each. The oldest gets its first token last.
-    stream_watch watch({});
+    stream_stall_detector watch({});
     std::vector<call_number> waiting;
     std::uint64_t next = 0;
     const auto put = [&](instant now) {
@@ -83,28 +83,28 @@
     }
 }
 
-Test(stream_watch, work_of_a_predecessor_counts_as_the_engine_reports_it)
+Test(stream_stall_detector, work_of_a_predecessor_counts_as_the_engine_reports_it)
 {
     // A sidecar that has just started knows no stream; its engine says that 400,000 tokens wait in it.
-    stream_watch watch({});
+    stream_stall_detector watch({});
     watch.reported(400'000, false);
     watch.began(start, call_number(1), 1'000);
     cr_assert(!first_silent(watch, start, after(8 * 16)));
     cr_assert(first_silent(watch, after(8 * 16), after(8 * 17)));
 }
 
-Test(stream_watch, a_cold_engine_gets_longer)
+Test(stream_stall_detector, a_cold_engine_gets_longer)
 {
-    stream_watch watch({});
+    stream_stall_detector watch({});
     watch.reported(0, true);
     watch.began(start, call_number(1), 10'000);
     cr_assert(!first_silent(watch, start, after(16.0)));
     cr_assert(first_silent(watch, after(16.0), after(16.1)));
 }
 
-Test(stream_watch, without_a_line_a_first_token_is_not_judged)
+Test(stream_stall_detector, without_a_line_a_first_token_is_not_judged)
 {
-    stream_watch watch({});
+    stream_stall_detector watch({});
     watch.began(start, call_number(1), 10'000);
     cr_assert(watch.silent(start + 500ms, std::nullopt).empty());
     cr_assert(watch.silent(start + 1s, std::nullopt).empty());
@@ -114,7 +114,7 @@
 {
     // The sidecar is paused for a minute. What its engine sent meanwhile is unread in its sockets: cutting
     // off every stream on wake-up would cost each caller a resume.
-    stream_watch watch({});
+    stream_stall_detector watch({});
     watch.began(start, call_number(1), 10'000);
     cr_assert(!first_silent(watch, start, after(1.0)));
     cr_assert(!first_silent(watch, after(61.0), after(63.5)));
@@ -142,7 +142,7 @@
     bool told = false;
     bool cancelled = false;
     for (auto now = start; now < start + 3s; now += step) {
-        (void)core.step(now, sidecar_input::gateway_heard{spec.gateway});
+        (void)core.step(now, sidecar_input::gateway_heartbeat{spec.gateway});
         for (const auto& action : core.step(now, sidecar_input::tick{})) {
             const auto* refused = std::get_if<sidecar_output::refuse_call>(&action);
             told = told || (refused != nullptr && refused->why.code == refusal_code::upstream_gone &&
