--- a/include/dragonflymill/serve/own_lease_renewer.h
+++ b/include/dragonflymill/serve/own_lease_renewer.h
@@ -9,7 +9,7 @@
 
 namespace dragonflymill {
 
-/// Settings of a own_lease_renewer.
+/// Settings of an own_lease_renewer.
 struct own_lease_renewer_options
 {
     upstream_id upstream;      ///< The upstream that the sidecar stands beside.
