--- a/include/dragonflymill/direct/client_retry_detector.h
+++ b/include/dragonflymill/direct/client_retry_detector.h
@@ -7,22 +7,22 @@
 
 namespace dragonflymill::direct {
 
-/// Tells a caller's first attempt from its return after a refusal.
+/// Distinguishes a client's first attempt from a retry after a refusal.
 ///
-/// A caller that returns has less time left than one that just began, and no name that a refusal could have
-/// given it. The longest time that callers of the same route state is taken for the whole time of each.
+/// A retrying client states less remaining time than a new one, and carries no identifier from the refusal.
+/// The longest remaining time that clients of the same route state is taken as the total time of each.
 class client_retry_detector
 {
 public:
-    /// Notes the time left that a caller of `route` states, and returns how long ago its first attempt began:
-    /// zero for a first attempt.
+    /// Records the remaining time that a client of `route` states. Returns how long ago its first attempt
+    /// began; zero for a first attempt.
     auto elapsed(const std::string& route, duration stated, instant now) -> duration;
 
-    /// Stated times that differ by less are equal: callers round them.
+    /// Stated times that differ by no more than this count as equal, because clients round them.
     static constexpr duration tolerance = 20ms;
-    /// The longest stated time is forgotten after one to two of these, so that callers which become less
-    /// patient are not taken for returning ones for good.
-    static constexpr duration memory = 10s;
+    /// The longest stated time expires after one to two windows. If clients shorten their timeouts, their
+    /// first attempts are therefore not taken for retries permanently.
+    static constexpr duration window = 10s;
 
 private:
     struct longest_times
--- a/include/dragonflymill/direct/stall_timeout.h
+++ b/include/dragonflymill/direct/stall_timeout.h
@@ -5,25 +5,25 @@
 
 namespace dragonflymill::direct {
 
-/// What is known of an attempt whose upstream is silent.
+/// State of an attempt whose upstream is silent.
 struct stalled_attempt
 {
-    bool begun = false; ///< Whether an event of its stream came.
-    duration reading{}; ///< Reading that the upstream has to do, by the load board.
+    bool started = false;       ///< Whether an event of its stream arrived.
+    duration pending_prefill{}; ///< Pending prefill of the upstream, from the load tracker.
 
     friend auto operator==(const stalled_attempt&, const stalled_attempt&) -> bool = default;
 };
 
-/// How long callers of a route bear a stream's silence before they leave.
+/// Returns how long clients of a route wait for a silent stream before they disconnect.
 [[nodiscard]] auto client_timeout_for(const route_rule& route) -> duration;
 
-/// Whether an upstream has so much to read that its silence doesn't mean that it is lost.
-[[nodiscard]] auto is_busy_prefilling(duration reading) -> bool;
+/// Returns whether an upstream has so much pending prefill that its silence doesn't indicate a loss.
+[[nodiscard]] auto is_busy_prefilling(duration pending_prefill) -> bool;
 
-/// How long an upstream may be silent before its call is sent to another one.
+/// Returns how long an upstream may be silent before its call is retried at another one.
 ///
-/// Too short, and calls of a busy engine are read a second time elsewhere, which makes the next engine
-/// silent; too long, and a lost engine's callers leave first.
+/// If the timeout is too short, calls of a busy engine are prefilled again elsewhere, which makes the next
+/// engine silent in turn. If it is too long, the clients of a lost engine disconnect first.
 [[nodiscard]] auto stall_timeout_for(const route_rule& route, const stalled_attempt& attempt) -> duration;
 
 } // namespace dragonflymill::direct
