--- a/include/dragonflymill/direct/cold_start_limiter.h
+++ b/include/dragonflymill/direct/cold_start_limiter.h
@@ -4,22 +4,23 @@
 
 namespace dragonflymill::direct {
 
-/// Calls that this gateway may send to one cold upstream. An upstream in cold start crashes at a rate well
-/// above what it bears; each gateway keeps to its part of that rate, so that the sum over all holds.
+/// Limits the rate of calls from this gateway to one upstream in cold start, which crashes at a rate well
+/// above its limit. Each gateway keeps to an equal share of that limit, which bounds the sum over all
+/// gateways.
 class cold_start_limiter
 {
 public:
-    /// Takes one call; false if it has to go elsewhere. `calls_per_s` is what the upstream bears from all
-    /// gateways together, `gateways` how many there may be.
+    /// Consumes one call; returns false if the call must go elsewhere. `calls_per_s` is the upstream's limit
+    /// for all gateways together, `gateways` the maximum number of gateways.
     [[nodiscard]] auto take(instant now, double calls_per_s, int gateways) -> bool;
-    /// Whether one is left, without taking it.
+    /// Returns whether a call is available, without consuming it.
     [[nodiscard]] auto available(instant now, double calls_per_s, int gateways) const -> bool;
 
 private:
-    [[nodiscard]] auto next_at(double calls_per_s, int gateways) const -> duration;
+    [[nodiscard]] auto interval(double calls_per_s, int gateways) const -> duration;
 
     instant last_{};
-    bool any_ = false;
+    bool used_ = false;
 };
 
 } // namespace dragonflymill::direct
--- a/include/dragonflymill/direct/engine_forecast.h
+++ b/include/dragonflymill/direct/engine_forecast.h
@@ -7,27 +7,27 @@
 
 namespace dragonflymill::direct {
 
-/// How long an engine takes for a piece of work, from its stated figures.
+/// Predicts how long an engine takes for prefill and decode, from its configured profile.
 class engine_forecast
 {
 public:
-    /// For engines with these figures.
-    explicit engine_forecast(const engine_profile& figures)
-        : figures_(figures)
+    explicit engine_forecast(const engine_profile& profile)
+        : profile_(profile)
     {
     }
 
-    /// Time to read a prompt alone at one engine: its tokens, and the pairs of each with all earlier ones.
-    [[nodiscard]] auto read_alone(std::int64_t prompt_tokens) const -> duration;
-    /// The same when the prompt is read in `parts` even parts at as many engines.
-    [[nodiscard]] auto read_part(std::int64_t prompt_tokens, int parts) const -> duration;
-    /// Length of a pass with `writers` streams of `context_tokens` each and no reading.
-    [[nodiscard]] auto pass(int writers, std::int64_t context_tokens) const -> duration;
-    /// The figures.
-    [[nodiscard]] auto figures() const -> const engine_profile& { return figures_; }
+    /// Returns the prefill time of a prompt at one engine: a linear share for its tokens, and a quadratic one
+    /// for the attention between each token and all earlier ones.
+    [[nodiscard]] auto prefill_time(std::int64_t prompt_tokens) const -> duration;
+    /// Returns the prefill time per engine when the prompt is split evenly over `parts` engines.
+    [[nodiscard]] auto split_prefill_time(std::int64_t prompt_tokens, int parts) const -> duration;
+    /// Returns the length of an iteration that decodes `streams` streams of `context_tokens` each, without
+    /// prefill.
+    [[nodiscard]] auto iteration_time(int streams, std::int64_t context_tokens) const -> duration;
+    [[nodiscard]] auto profile() const -> const engine_profile& { return profile_; }
 
 private:
-    engine_profile figures_;
+    engine_profile profile_;
 };
 
 } // namespace dragonflymill::direct
--- a/include/dragonflymill/direct/first_token_times.h
+++ b/include/dragonflymill/direct/first_token_times.h
@@ -10,37 +10,37 @@
 
 namespace dragonflymill::direct {
 
-/// Calls that are alike in where they go and how soon their answer is wanted.
+/// Calls of the same service with the same time between tokens target.
 struct call_class
 {
-    std::string service;   ///< Where they run.
-    duration tbt_target{}; ///< Longest pause between their events that is on time; 0 for plain calls.
+    std::string service;   ///< Service that runs them.
+    duration tbt_target{}; ///< Longest time between two events; 0 for plain services.
 
     // NOLINTNEXTLINE(modernize-use-nullptr): the linter takes the zero of a rewritten a < b for a pointer
     friend auto operator<=>(const call_class&, const call_class&) -> std::strong_ordering = default;
     friend auto operator==(const call_class&, const call_class&) -> bool = default;
 };
 
-/// How long upstreams have lately taken from a call's dispatch to its first token, by class of calls.
+/// Moving average of the time from dispatch to the first token, by class of calls.
 class first_token_times
 {
 public:
-    /// A call was sent.
-    void dispatched(placement_id placed, const call_class& kind, instant now);
-    /// Its first token came; later ones are left out.
+    /// Starts the measurement for a call that is sent.
+    void dispatched(placement_id placed, const call_class& of_class, instant now);
+    /// Ends the measurement at the call's first token; later tokens are ignored.
     void first_token(placement_id placed, instant now);
-    /// It is over, with or without a first token.
+    /// Discards the measurement of a call that ended without a first token.
     void finished(placement_id placed) { open_.erase(placed); }
-    /// Moving average; zero while none is known.
-    [[nodiscard]] auto expected(const call_class& kind) const -> duration;
+    /// Returns the average of a class; zero before its first measurement.
+    [[nodiscard]] auto expected(const call_class& of_class) const -> duration;
 
-    /// Weight of the newest time in the average.
+    /// Weight of the newest measurement.
     static constexpr double newest_weight = 0.05;
 
 private:
     struct open_call
     {
-        call_class kind;
+        call_class of_class;
         instant since{};
     };
 
--- a/include/dragonflymill/direct/prefill_plan.h
+++ b/include/dragonflymill/direct/prefill_plan.h
@@ -12,155 +12,159 @@
 
 namespace dragonflymill::direct {
 
-/// How a long prompt would be read, and what that would do to others.
+/// Engines for the prefill and decode of one long prompt, with the utility and the cost of using them.
 struct prefill_plan
 {
-    const dispatch_candidate* writer = nullptr; ///< Answers the call; never null in a plan that was returned.
-    std::int64_t writer_tokens = 0;             ///< Memory filled at `writer`.
-    std::vector<helper_share> helpers;          ///< Read a part each.
-    duration part{};                            ///< Reading at each of the engines.
-    duration backlog{};                         ///< What the busiest of them has to read before.
-    double cost = 0.0;                          ///< Worth of the streams that the reading makes late.
-    double benefit = 0.0;                       ///< Worth of the call if it is read so.
+    const dispatch_candidate* decode_engine = nullptr; ///< Answers the call; never null in a returned plan.
+    std::int64_t decode_memory_tokens = 0;             ///< KV cache used at `decode_engine`, in tokens.
+    std::vector<prefill_share> prefill_engines;        ///< Other engines, each with a part of the prefill.
+    duration part_time{};                              ///< Prefill time at each engine of the plan.
+    duration backlog{};                                ///< Longest pending prefill at any of its engines.
+    double cost = 0.0;                                 ///< Utility lost by streams that the prefill delays.
+    double utility = 0.0;                              ///< Utility of the call if it is served by this plan.
 
-    /// Expected until the first token.
-    [[nodiscard]] auto first_token() const -> duration { return backlog + part; }
+    /// Expected time to first token.
+    [[nodiscard]] auto first_token() const -> duration { return backlog + part_time; }
     friend auto operator==(const prefill_plan&, const prefill_plan&) -> bool = default;
 };
 
-/// Finds the engines that read one long prompt.
+/// Selects the engines that prefill one long prompt.
 ///
-/// Load that it answers: long prompts arrive while all engines write short streams, or streams with other
-/// pause aims. Reading a part beside streams lengthens their pass by the part. Each plan is weighed by the
-/// worth that it earns, less the worth of the streams whose pause it lengthens beyond their aim. Read alone
-/// at an engine with ten streams, a prompt of 200,000 tokens takes three seconds and makes all ten late; in
-/// nine parts at engines with empty passes it makes none late. Against a fixed bound of reading beside
-/// streams, with the first engine that has room as the writer, weighing earns 0.713 instead of 0.700 of all
-/// worth, and half of the loss by broken pauses (48 plays of four deployments).
+/// A prefill part that runs on an engine with active streams lengthens each of their iterations by the part's
+/// time. Every plan is therefore rated by the call's utility less the utility of the streams that would miss
+/// their time between tokens (TBT) target. Prefilled by one engine that decodes ten streams, a prompt of
+/// 200,000 tokens takes three seconds and all ten miss their target; in nine parts on engines with short
+/// iterations none does. Compared with a fixed bound on the prefill beside streams and the first engine
+/// with capacity as decode engine, this halves the utility lost by missed TBT targets.
 class prefill_planner
 {
 public:
-    /// For a call and engines in the order that all gateways share; `wanted_part` is the reading that an
-    /// engine should get at most. All must outlive the planner.
-    prefill_planner(const engine_forecast& forecast, duration wanted_part, const call_shape& call,
+    /// `ordered` holds the engines in the order that all gateways share; `target_part_time` is the prefill
+    /// time that one engine should get at most. `forecast`, `call` and `ordered` must outlive the planner.
+    prefill_planner(const engine_forecast& forecast, duration target_part_time, const call_requirements& call,
                     std::span<const dispatch_candidate> ordered);
 
-    /// The best plan with a writer among `side`, or among all if none of those has room; nothing if none has.
-    /// A plan that may begin now goes before one that has to wait, unless the wait is worth it: eight idle
-    /// engines rather than sixteen of which two read for long. A burst of short prompts leaves one engine to
-    /// the long ones, whose memory the largest prompts exceed.
+    /// Returns the best plan with a decode engine from `side`, or from all engines if none of `side` has
+    /// capacity; nothing if no engine has. A plan that can start now is preferred to one that has to wait,
+    /// unless waiting yields a sufficiently earlier first token: eight idle engines are used rather than
+    /// sixteen of which two have a long backlog. All engines are considered because a burst of short prompts
+    /// can leave one engine on the long side, whose memory is too small for the largest prompts.
     [[nodiscard]] auto best(std::span<const dispatch_candidate> side) const -> std::optional<prefill_plan>;
-    /// The best plan for a writer that is chosen already.
-    [[nodiscard]] auto best_for(const dispatch_candidate& writer) const -> prefill_plan;
-    /// Whether a plan is worth its cost now, rather than that the call waits for a better one: a call with
-    /// all its time left accepts little cost, one that waited accepts up to what it is worth.
+    /// Returns the best plan with the given decode engine.
+    [[nodiscard]] auto best_for(const dispatch_candidate& decode_engine) const -> prefill_plan;
+    /// Returns whether the plan's utility justifies its cost now. A call with all its time left accepts
+    /// little cost; the accepted cost grows with the time used, up to the plan's whole utility.
     [[nodiscard]] auto acceptable(const prefill_plan& plan) const -> bool;
-    /// Why a plan should not begin now; none if it may.
-    [[nodiscard]] auto obstacle_to(const prefill_plan& plan) const -> wait_reason;
-    /// Time to read the prompt at as many engines as may read it together.
-    [[nodiscard]] auto fastest() const -> duration;
+    /// Returns why the plan must not start now, or `wait_reason::none`.
+    [[nodiscard]] auto reason_to_wait(const prefill_plan& plan) const -> wait_reason;
+    /// Returns the prefill time with as many engines as one prompt may use.
+    [[nodiscard]] auto fastest_prefill_time() const -> duration;
 
-    /// Worth of a call: a short one counts one, and each so many tokens of prompt one more. Operators of
-    /// engines charge by token; a document of 200,000 tokens counts as twenty questions.
-    static constexpr double tokens_per_worth = 10'000.0;
-    /// Part of its worth that a late answer keeps.
-    static constexpr double late_worth = 0.25;
-    /// A pass begins to be too long for a stream at this share of its pause aim: parts of other gateways may
-    /// arrive in the same pass. From `cost_full` on, the stream is taken to be late. Served worth of four
-    /// deployments with 0.7, 0.8, 0.88 and 0.95 here: 0.728, 0.734, 0.739 and 0.735 (48 plays each, noise
-    /// 0.004): below, prompts wait for engines that are idle; above, parts that meet break pauses.
-    static constexpr double cost_begins = 0.88;
-    static constexpr double cost_full = 1.05;
-    /// The same for a call's own first token and its aim.
-    static constexpr double late_begins = 0.85;
-    static constexpr double late_full = 1.05;
-    /// A caller that may leave is not served: the first token is to come within this share of its time.
-    static constexpr double stay_share = 0.7;
-    /// Long calls wait in the gateway while the engines that they would use have this much to read: a call
-    /// that waits here can still go where room comes first.
+    /// Prompt tokens per unit of utility. Each call has one unit, plus one for this many prompt tokens,
+    /// because engine operators charge by token: 200,000 tokens count as much as twenty short prompts.
+    static constexpr double tokens_per_utility = 10'000.0;
+    /// Share of a call's utility that remains if its answer misses the target.
+    static constexpr double late_utility_share = 0.25;
+    /// A stream begins to count as delayed when its iteration time reaches this share of its TBT target,
+    /// because parts from other gateways may arrive in the same iteration. From `tbt_cost_full` on, the
+    /// target is taken as missed. With a smaller share prompts wait for idle engines; with a larger one
+    /// coinciding parts break TBT targets.
+    static constexpr double tbt_cost_begins = 0.88;
+    static constexpr double tbt_cost_full = 1.05;
+    /// The same two bounds for the call's own time to first token (TTFT), as shares of its target.
+    static constexpr double ttft_late_begins = 0.85;
+    static constexpr double ttft_late_full = 1.05;
+    /// The first token must arrive within this share of the time until the client's timeout; otherwise the
+    /// plan has no utility, because the client may have disconnected.
+    static constexpr double client_timeout_share = 0.7;
+    /// Maximum backlog of a plan's engines. With more, the call stays queued in the gateway, from where it
+    /// can still go to the engine that gets capacity first.
     static constexpr duration max_backlog = 120ms;
-    /// The same for calls that are late already, so that they don't make others late.
+    /// The same for calls that have missed their target already: they must not delay other calls.
     static constexpr duration max_backlog_when_late = 60ms;
-    /// Engines that read one prompt together at most, as the engines allow.
-    static constexpr std::size_t max_readers = 16;
-    /// A call that has just come takes a plan that may begin now if its first token comes no later than by
-    /// the best plan, for which it would wait. That forecast leaves out what others wait for: with each share
-    /// of its aim that has gone in vain, the call takes one that is longer by so many times that share.
-    static constexpr double longer_by_wait = 4.0;
-    /// Share of all engines that one prompt is read by at most: the largest takes seconds wherever it is
-    /// read, and a burst of short prompts in that time must find engines without it.
-    static constexpr double reader_share = 0.7;
+    /// Maximum number of engines per prompt that the engines' protocol allows.
+    static constexpr std::size_t max_prefill_engines = 16;
+    /// A new call starts at once if that yields its first token no later than the best plan, which has to
+    /// wait. The forecast of that wait ignores competing calls, so a call that has waited for a share `s` of
+    /// its target accepts a time to first token that is longer by the factor 1 + `s` times this value.
+    static constexpr double slowdown_per_waited_share = 4.0;
+    /// Maximum share of all engines for one prompt. The largest prompts take seconds on any number of
+    /// engines, and a burst of short prompts needs free engines meanwhile.
+    static constexpr double max_prefill_engine_share = 0.7;
 
 private:
-    /// The engine that answers a call, and those that hold a part of its prompt.
-    struct writer_choice
+    /// The decode engine of a call, and further engines that reserve a share of its KV cache.
+    struct decode_choice
     {
         const dispatch_candidate* engine = nullptr;
         std::int64_t tokens = 0;
-        std::vector<helper_share> holders;
+        std::vector<prefill_share> reserved_shares;
     };
-    /// An engine that may help, with what doesn't depend on the length of its part.
-    struct able_reader
+    /// An engine that may take a prefill part, with all values that don't depend on the part's length.
+    struct prefill_candidate
     {
         const dispatch_candidate* engine = nullptr;
-        duration before{};         // its reading and its pass, before the part
-        double streams_cost = 0.0; // if all its streams become late
+        duration time_before_part{}; // its pending prefill and one iteration
+        double streams_cost = 0.0;   // if all its streams miss their TBT target
         std::int64_t backlog_steps = 0;
-        std::uint64_t spread = 0;
+        std::uint64_t tie_breaker = 0;
     };
-    struct ranked_reader
+    struct ranked_candidate
     {
         const dispatch_candidate* engine = nullptr;
         double cost = 0.0;
         std::int64_t backlog_steps = 0;
-        std::uint64_t spread = 0;
+        std::uint64_t tie_breaker = 0;
     };
 
-    /// The best plan, and the best of those that may begin now.
+    /// The best plan, and the best of those that can start now.
     struct plan_choice
     {
         prefill_plan best;
-        std::optional<prefill_plan> now;
+        std::optional<prefill_plan> immediate;
     };
 
-    /// So many readers of a prompt, and the engines that may help, the best first. Worked out once for all
-    /// writers that are tried.
-    struct readers_option
+    /// A number of engines for the prefill, and the candidates for it in order of preference. Computed once
+    /// per call and shared by all decode engines that are considered.
+    struct prefill_option
     {
-        std::size_t readers = 1;
-        duration part{};
-        std::vector<ranked_reader> able;
+        std::size_t engines = 1;
+        duration part_time{};
+        std::vector<ranked_candidate> candidates;
     };
 
-    /// The plan that a call takes of two.
-    [[nodiscard]] auto chosen_of(plan_choice found) const -> prefill_plan;
-    [[nodiscard]] auto writers(std::span<const dispatch_candidate> side) const -> std::vector<writer_choice>;
+    /// Decides between the best plan and the best immediate plan.
+    [[nodiscard]] auto choose_plan(plan_choice found) const -> prefill_plan;
+    [[nodiscard]] auto decode_choices(std::span<const dispatch_candidate> side) const
+        -> std::vector<decode_choice>;
+    /// Combines the fewest engines that together have enough memory for the call.
     [[nodiscard]] auto memory_gang(std::span<const dispatch_candidate> side) const
-        -> std::optional<writer_choice>;
-    [[nodiscard]] auto may_write(const dispatch_candidate& engine, std::int64_t tokens) const -> bool;
-    [[nodiscard]] auto plan_for(const writer_choice& writer, const std::vector<readers_option>& options) const
+        -> std::optional<decode_choice>;
+    [[nodiscard]] auto can_decode(const dispatch_candidate& engine, std::int64_t tokens) const -> bool;
+    [[nodiscard]] auto plan_for(const decode_choice& decode, const std::vector<prefill_option>& options) const
         -> plan_choice;
-    [[nodiscard]] auto plan_alone(const writer_choice& writer) const -> prefill_plan;
-    [[nodiscard]] auto plan_with(const writer_choice& writer, const readers_option& option) const
+    /// The plan without prefill engines beyond those that reserve memory.
+    [[nodiscard]] auto smallest_plan(const decode_choice& decode) const -> prefill_plan;
+    [[nodiscard]] auto plan_with(const decode_choice& decode, const prefill_option& option) const
         -> std::optional<prefill_plan>;
-    [[nodiscard]] auto begin_plan(const writer_choice& writer, duration part) const -> prefill_plan;
-    [[nodiscard]] static auto is_chosen(const writer_choice& writer, const dispatch_candidate& engine)
+    [[nodiscard]] auto base_plan(const decode_choice& decode, duration part_time) const -> prefill_plan;
+    [[nodiscard]] static auto is_chosen(const decode_choice& decode, const dispatch_candidate& engine)
         -> bool;
-    [[nodiscard]] auto readers_options() const -> std::vector<readers_option>;
-    [[nodiscard]] auto able_readers() const -> std::vector<able_reader>;
-    [[nodiscard]] static auto ranked(const std::vector<able_reader>& able, duration part)
-        -> std::vector<ranked_reader>;
-    [[nodiscard]] auto able_of(const dispatch_candidate& engine) const -> able_reader;
-    [[nodiscard]] static auto cost_at(const able_reader& reader, duration part) -> double;
-    [[nodiscard]] auto benefit_of(duration first_token) const -> double;
-    [[nodiscard]] auto worth() const -> double;
-    [[nodiscard]] auto wanted_readers() const -> std::size_t;
-    [[nodiscard]] auto most_readers() const -> std::size_t;
+    [[nodiscard]] auto prefill_options() const -> std::vector<prefill_option>;
+    [[nodiscard]] auto prefill_candidates() const -> std::vector<prefill_candidate>;
+    [[nodiscard]] static auto ranked(const std::vector<prefill_candidate>& candidates, duration part_time)
+        -> std::vector<ranked_candidate>;
+    [[nodiscard]] auto to_prefill_candidate(const dispatch_candidate& engine) const -> prefill_candidate;
+    [[nodiscard]] static auto cost_at(const prefill_candidate& candidate, duration part_time) -> double;
+    [[nodiscard]] auto utility_of(duration first_token) const -> double;
+    [[nodiscard]] auto call_utility() const -> double;
+    [[nodiscard]] auto target_engine_count() const -> std::size_t;
+    [[nodiscard]] auto max_engine_count() const -> std::size_t;
     [[nodiscard]] auto find(const std::string& id) const -> const dispatch_candidate&;
 
     const engine_forecast& forecast_;
-    duration wanted_part_;
-    const call_shape& call_;
+    duration target_part_time_;
+    const call_requirements& call_;
     std::span<const dispatch_candidate> ordered_;
 };
 
--- a/include/dragonflymill/direct/saturation_tracker.h
+++ b/include/dragonflymill/direct/saturation_tracker.h
@@ -6,26 +6,27 @@
 
 namespace dragonflymill::direct {
 
-/// Measures how long calls have found no upstream with room.
+/// Measures how long calls have found no upstream with free capacity.
 class saturation_tracker
 {
 public:
-    /// A call found no room.
-    void no_room(instant now);
-    /// How long there has been no room; zero if calls found room lately.
-    [[nodiscard]] auto lasting(instant now) const -> duration;
+    /// Records that a call found no capacity.
+    void record_no_capacity(instant now);
+    /// Returns the duration of the current saturation; zero if calls found capacity recently.
+    [[nodiscard]] auto saturated_for(instant now) const -> duration;
 
-    /// Room for so long ends a saturation: single calls find room between others that don't.
-    static constexpr duration longest_gap = 500ms;
+    /// A saturation ends after this time without a call that found no capacity. A shorter gap doesn't end it,
+    /// because single calls find capacity between others that don't.
+    static constexpr duration max_gap = 500ms;
 
 private:
     instant since_{};
     instant last_{};
 };
 
-/// When a refused caller is asked to come back: a saturation is taken to last as long again as it has lasted.
-/// A caller that returns too early is refused for good, one that returns late is answered late. `draw`
-/// spreads the returns, so that callers refused together don't meet again.
-[[nodiscard]] auto return_time(duration saturated, duration time_left, std::uint64_t draw) -> duration;
+/// Returns when a refused client should retry. The saturation is expected to last as long again as it has
+/// lasted: a client that retries too early is refused for good, one that retries late is answered late.
+/// `random` adds jitter, because clients that were refused together must not retry together.
+[[nodiscard]] auto retry_after_for(duration saturated, duration time_left, std::uint64_t random) -> duration;
 
 } // namespace dragonflymill::direct
--- a/include/dragonflymill/direct/upstream_health.h
+++ b/include/dragonflymill/direct/upstream_health.h
@@ -8,51 +8,59 @@
 
 namespace dragonflymill::direct {
 
-/// Which upstreams had better be avoided, by how calls to them ended.
+/// Decides from the outcome of calls which upstreams to avoid.
 ///
-/// A health check can pass while calls fail, and fail while calls succeed, so that only the outcome of calls
-/// counts. An upstream that failed is left alone for a time that doubles with each further failure; then one
-/// call at a time tries it until one succeeds.
+/// A health check can pass while calls fail, and fail while calls succeed; only the outcome of calls counts.
+/// A failed upstream is suspect for a backoff that doubles with each further failure. Then it gets one call
+/// at a time as a probe, until a call succeeds.
 class upstream_health
 {
 public:
-    /// An attempt ended that this upstream is at fault for.
+    /// Records an attempt whose failure is attributed to this upstream.
     void record_end(const std::string& upstream, attempt_end end, instant now);
-    /// No connection, silence, or an answer that can't be used.
+    /// Records a failed connection, a timeout or an unusable answer.
     void lost(const std::string& upstream, instant now);
-    /// The upstream itself answered a failure. Some failures are the call's own fault, so that only a share
-    /// of them well above the usual makes an upstream suspect.
+    /// Records an error response. Some calls fail for reasons of their own, so the upstream becomes suspect
+    /// only if its share of failures is well above the usual one.
     void failed(const std::string& upstream, instant now);
-    /// The upstream refused a call for want of room. It is sound, but what fills it isn't on our board.
+    /// Records a call that the upstream rejected for lack of capacity. The upstream is healthy, but the load
+    /// tracker doesn't know all of its load.
     void full(const std::string& upstream, instant now);
-    /// A whole answer came.
+    /// Records a complete answer.
     void record_success(const std::string& upstream);
-    /// Whether calls should go elsewhere; `own_calls` of this gateway are in hand there.
+    /// Returns whether calls should avoid the upstream; `own_calls` of this gateway are in flight there.
     [[nodiscard]] auto suspect(const std::string& upstream, int own_calls, instant now) const -> bool;
-    /// The upstream is gone.
+    /// Removes an upstream that no longer exists.
     void forget(const std::string& upstream) { records_.erase(upstream); }
 
-    static constexpr duration first_pause = 400ms; ///< After a first failure; over the usual blip of a link.
-    static constexpr duration full_pause = 300ms;  ///< After a refusal; some calls end in this time.
-    static constexpr duration longest_pause = 3s;  ///< A crashed upstream is back within seconds.
-    static constexpr double failure_weight = 0.15; ///< Of the newest call in the share of failures.
-    static constexpr double loss_weight = 0.3;     ///< The same for a call that was lost.
-    static constexpr double sound_share = 0.15;  ///< An upstream that fails more often keeps its long pauses:
-                                                 ///< one that fails now and then would else be back at once.
-    static constexpr double suspect_share = 0.3; ///< Failures above this share: twice that of services that
-                                                 ///< refuse one call in seven for reasons of their own.
+    /// Backoff after the first loss; exceeds the usual short outage of a link.
+    static constexpr duration first_pause = 400ms;
+    /// Backoff after a rejection; some calls end and free capacity in this time.
+    static constexpr duration full_pause = 300ms;
+    /// Maximum backoff after further losses; a crashed upstream restarts within seconds.
+    static constexpr duration longest_pause = 3s;
+    /// Weight of the newest call in the share of failures.
+    static constexpr double failure_weight = 0.15;
+    /// The same for a call that was lost.
+    static constexpr double loss_weight = 0.3;
+    /// Above this share of failures a success doesn't shorten the next backoff; an upstream that fails
+    /// intermittently would otherwise be used again at once.
+    static constexpr double healthy_failure_share = 0.15;
+    /// Above this share of failures an error response makes an upstream suspect: twice the share of services
+    /// that reject one call in seven for reasons of their own.
+    static constexpr double suspect_failure_share = 0.3;
 
 private:
     struct record
     {
         int losses = 0;
         double failure_share = 0.0;
-        bool on_trial = false;
+        bool probing = false;
         instant suspect_until{};
-        instant full_until{};
+        instant rejected_until{};
     };
 
-    void suspect_for(record& found, instant now);
+    void mark_suspect(record& found, instant now);
 
     std::unordered_map<std::string, record> records_;
 };
--- a/src/direct/cold_start_limiter.cpp
+++ b/src/direct/cold_start_limiter.cpp
@@ -7,7 +7,8 @@
 namespace {
 
 constexpr double us_per_s = 1e6;
-constexpr double slowest_rate = 0.1; // calls a second; a stated rate of 0 would mean never
+/// Calls per second; a very small configured rate must not exclude an upstream for good.
+constexpr double min_rate = 0.1;
 
 } // namespace
 
@@ -17,18 +18,18 @@
         return false;
     }
     last_ = now;
-    any_ = true;
+    used_ = true;
     return true;
 }
 
 auto cold_start_limiter::available(instant now, double calls_per_s, int gateways) const -> bool
 {
-    return !any_ || now - last_ >= next_at(calls_per_s, gateways);
+    return !used_ || now - last_ >= interval(calls_per_s, gateways);
 }
 
-auto cold_start_limiter::next_at(double calls_per_s, int gateways) const -> duration
+auto cold_start_limiter::interval(double calls_per_s, int gateways) const -> duration
 {
-    const double own_rate = std::max(calls_per_s / std::max(gateways, 1), slowest_rate);
+    const double own_rate = std::max(calls_per_s / std::max(gateways, 1), min_rate);
     return duration(static_cast<duration::rep>(us_per_s / own_rate));
 }
 
--- a/src/direct/dispatch_policy.cpp
+++ b/src/direct/dispatch_policy.cpp
@@ -12,19 +12,19 @@
 
 namespace {
 
-auto is_far(const call_shape& call, const dispatch_candidate& upstream) -> bool
+auto in_other_domain(const call_requirements& call, const dispatch_candidate& upstream) -> bool
 {
     return upstream.failure_domain != call.failure_domain;
 }
 
 } // namespace
 
-auto plain_dispatch::choose(const call_shape& call, std::span<const dispatch_candidate> candidates) const
-    -> dispatch_decision
+auto plain_dispatch::choose(const call_requirements& call,
+                            std::span<const dispatch_candidate> candidates) const -> dispatch_decision
 {
     const auto rank = [&](const dispatch_candidate& upstream) {
-        return std::tuple(upstream.suspect, in_flight(upstream), is_far(call, upstream),
-                          mix_bits(upstream.place ^ call.spread));
+        return std::tuple(upstream.suspect, in_flight(upstream), in_other_domain(call, upstream),
+                          mix_bits(upstream.id_hash ^ call.tie_breaker));
     };
     const dispatch_candidate* best = nullptr;
     for (const dispatch_candidate& upstream : candidates) {
@@ -42,70 +42,72 @@
     return {std::move(choice)};
 }
 
-engine_dispatch::engine_dispatch(const engine_profile& figures, duration tightest_tbt_target)
-    : forecast_(figures)
-    , tightest_pause_(tightest_tbt_target)
+engine_dispatch::engine_dispatch(const engine_profile& profile, duration tightest_tbt_target)
+    : forecast_(profile)
+    , tightest_tbt_target_(tightest_tbt_target)
 {
 }
 
 auto engine_dispatch::is_long(std::int64_t prompt_tokens) const -> bool
 {
-    return tightest_pause_ > duration::zero() && forecast_.read_alone(prompt_tokens) > tightest_pause_ / 2;
+    return tightest_tbt_target_ > duration::zero() &&
+           forecast_.prefill_time(prompt_tokens) > tightest_tbt_target_ / 2;
 }
 
-auto engine_dispatch::short_partition(std::span<const dispatch_candidate> candidates) const -> std::size_t
+auto engine_dispatch::short_partition_size(std::span<const dispatch_candidate> candidates) const
+    -> std::size_t
 {
     int short_calls = 0;
-    int long_work = 0;
+    int long_calls = 0;
     for (const dispatch_candidate& engine : candidates) {
         short_calls += engine.load.short_calls;
-        long_work += engine.load.long_calls + engine.load.parts;
+        long_calls += engine.load.long_calls + engine.load.parts;
     }
-    const double each = std::max(1.0, forecast_.figures().slots * short_fill);
-    const auto needed = static_cast<std::size_t>(std::ceil((short_calls + 1) / each));
+    const double calls_per_engine = std::max(1.0, forecast_.profile().slots * short_fill);
+    const auto required = static_cast<std::size_t>(std::ceil((short_calls + 1) / calls_per_engine));
     const std::size_t count = candidates.size();
-    const std::size_t most = long_work > 0 && count > 1 ? count - 1 : count;
-    return std::clamp<std::size_t>(needed, 1, std::max<std::size_t>(most, 1));
+    const std::size_t max_size = long_calls > 0 && count > 1 ? count - 1 : count;
+    return std::clamp<std::size_t>(required, 1, std::max<std::size_t>(max_size, 1));
 }
 
-auto engine_dispatch::is_tight(const call_shape& call) const -> bool
+auto engine_dispatch::is_latency_critical(const call_requirements& call) const -> bool
 {
-    return call.tbt_target > duration::zero() && call.tbt_target <= tightest_pause_;
+    return call.tbt_target > duration::zero() && call.tbt_target <= tightest_tbt_target_;
 }
 
-auto engine_dispatch::choose(const call_shape& call, std::span<const dispatch_candidate> candidates) const
-    -> dispatch_decision
+auto engine_dispatch::choose(const call_requirements& call,
+                             std::span<const dispatch_candidate> candidates) const -> dispatch_decision
 {
     if (candidates.empty()) {
         return {std::nullopt, wait_reason::no_engine};
     }
-    const std::size_t boundary = short_partition(candidates);
-    if (is_tight(call) || !is_long(call.prompt_tokens)) {
+    const std::size_t boundary = short_partition_size(candidates);
+    if (is_latency_critical(call) || !is_long(call.prompt_tokens)) {
         return choose_short(call, candidates, boundary);
     }
     return choose_long(call, candidates, boundary);
 }
 
-auto engine_dispatch::choose_short(const call_shape& call, std::span<const dispatch_candidate> ordered,
+auto engine_dispatch::choose_short(const call_requirements& call, std::span<const dispatch_candidate> ordered,
                                    std::size_t boundary) const -> dispatch_decision
 {
     const auto rank = [&](const dispatch_candidate& engine) {
-        return std::tuple(engine.load.pending_prefill / 25ms, in_flight(engine) / 2, is_far(call, engine),
-                          mix_bits(engine.place ^ call.spread));
+        return std::tuple(engine.load.pending_prefill / 25ms, in_flight(engine) / 2,
+                          in_other_domain(call, engine), mix_bits(engine.id_hash ^ call.tie_breaker));
     };
     const dispatch_candidate* best = nullptr;
     const auto consider = [&](std::span<const dispatch_candidate> engines) {
         for (const dispatch_candidate& engine : engines) {
             const bool usable =
-                has_slot(engine) && free_memory(forecast_.figures(), engine) >= memory_need(call);
+                has_slot(engine) && free_memory(forecast_.profile(), engine) >= required_memory(call);
             if (usable && (best == nullptr || rank(engine) < rank(*best))) {
                 best = &engine;
             }
         }
     };
     consider(ordered.first(boundary));
-    const bool inside = best != nullptr && best->load.pending_prefill <= prefill_planner::max_backlog;
-    if (!inside) {
+    const bool in_partition = best != nullptr && best->load.pending_prefill <= prefill_planner::max_backlog;
+    if (!in_partition) {
         consider(ordered.subspan(boundary));
     }
     if (best == nullptr) {
@@ -114,39 +116,39 @@
     dispatch_choice choice;
     choice.upstream = best->id;
     choice.load = best->load;
-    choice.reading = forecast_.read_alone(call.prompt_tokens);
-    choice.first_token = best->load.pending_prefill + choice.reading;
-    choice.memory_tokens = memory_need(call);
+    choice.prefill_time = forecast_.prefill_time(call.prompt_tokens);
+    choice.first_token = best->load.pending_prefill + choice.prefill_time;
+    choice.memory_tokens = required_memory(call);
     if (is_long(call.prompt_tokens)) {
-        prefill_plan plan = prefill_planner(forecast_, wanted_part(), call, ordered).best_for(*best);
-        choice.reading = plan.part;
+        prefill_plan plan = prefill_planner(forecast_, target_part_time(), call, ordered).best_for(*best);
+        choice.prefill_time = plan.part_time;
         choice.first_token = plan.first_token();
-        choice.prefill_engines = std::move(plan.helpers);
+        choice.prefill_engines = std::move(plan.prefill_engines);
     }
-    choice.first_token += forecast_.pass(in_flight(*best), call.prompt_tokens);
-    choice.reason = inside ? "short partition" : "short partition full";
+    choice.first_token += forecast_.iteration_time(in_flight(*best), call.prompt_tokens);
+    choice.reason = in_partition ? "short partition" : "short partition full";
     return {std::move(choice)};
 }
 
-auto engine_dispatch::choose_long(const call_shape& call, std::span<const dispatch_candidate> ordered,
+auto engine_dispatch::choose_long(const call_requirements& call, std::span<const dispatch_candidate> ordered,
                                   std::size_t boundary) const -> dispatch_decision
 {
     const std::size_t first = std::min(boundary, ordered.size() - 1);
-    const prefill_planner planner(forecast_, wanted_part(), call, ordered);
+    const prefill_planner planner(forecast_, target_part_time(), call, ordered);
     auto plan = planner.best(ordered.subspan(first));
-    const wait_reason obstacle = plan ? planner.obstacle_to(*plan) : wait_reason::no_engine;
-    if (obstacle != wait_reason::none) {
-        return {std::nullopt, obstacle};
+    const wait_reason blocked_by = plan ? planner.reason_to_wait(*plan) : wait_reason::no_engine;
+    if (blocked_by != wait_reason::none) {
+        return {std::nullopt, blocked_by};
     }
-    const bool on_time = plan->first_token() <= call.time_to_aim;
+    const bool on_time = plan->first_token() <= call.time_to_target;
     dispatch_choice choice;
-    choice.upstream = plan->writer->id;
-    choice.load = plan->writer->load;
+    choice.upstream = plan->decode_engine->id;
+    choice.load = plan->decode_engine->load;
     choice.is_long = true;
-    choice.memory_tokens = plan->writer_tokens;
-    choice.reading = plan->part;
+    choice.memory_tokens = plan->decode_memory_tokens;
+    choice.prefill_time = plan->part_time;
     choice.first_token = plan->first_token();
-    choice.prefill_engines = std::move(plan->helpers);
+    choice.prefill_engines = std::move(plan->prefill_engines);
     choice.reason = on_time ? "long partition" : "late, long partition";
     return {std::move(choice)};
 }
@@ -160,45 +162,45 @@
         return "all upstreams are full";
     case wait_reason::no_engine:
         return "no engine has a free slot and memory";
-    case wait_reason::few_readers:
+    case wait_reason::few_prefill_engines:
         return "too few engines are free to read the prompt in time";
     case wait_reason::backlog:
         return "engines have too much to read";
     case wait_reason::cost:
         return "reading the prompt now would make too many answers late";
-    case wait_reason::behind_others:
+    case wait_reason::behind_queued_calls:
         return "calls of its kind that go before it found no room";
     }
     return "unknown";
 }
 
-auto engine_dispatch::wanted_part() const -> duration
+auto engine_dispatch::target_part_time() const -> duration
 {
-    return scaled(tightest_pause_, part_share);
+    return scaled(tightest_tbt_target_, part_time_share);
 }
 
-auto memory_need(const call_shape& call) -> std::int64_t
+auto required_memory(const call_requirements& call) -> std::int64_t
 {
     return call.prompt_tokens + call.answer_tokens;
 }
 
-auto free_memory(const engine_profile& figures, const dispatch_candidate& engine) -> std::int64_t
+auto free_memory(const engine_profile& profile, const dispatch_candidate& engine) -> std::int64_t
 {
-    if (figures.memory_tokens <= 0) {
+    if (profile.memory_tokens <= 0) {
         return std::numeric_limits<std::int64_t>::max();
     }
-    return static_cast<std::int64_t>(static_cast<double>(figures.memory_tokens) * memory_fill) -
+    return static_cast<std::int64_t>(static_cast<double>(profile.memory_tokens) * usable_memory_share) -
            engine.load.memory_tokens;
 }
 
 void sort_for_partition(std::vector<dispatch_candidate>& candidates)
 {
     for (dispatch_candidate& candidate : candidates) {
-        candidate.place = stable_hash(candidate.id);
+        candidate.id_hash = stable_hash(candidate.id);
     }
     std::sort(candidates.begin(), candidates.end(),
               [](const dispatch_candidate& a, const dispatch_candidate& b) {
-                  return std::tie(a.place, a.id) < std::tie(b.place, b.id);
+                  return std::tie(a.id_hash, a.id) < std::tie(b.id_hash, b.id);
               });
 }
 
--- a/src/direct/first_token_times.cpp
+++ b/src/direct/first_token_times.cpp
@@ -2,9 +2,9 @@
 
 namespace dragonflymill::direct {
 
-void first_token_times::dispatched(placement_id placed, const call_class& kind, instant now)
+void first_token_times::dispatched(placement_id placed, const call_class& of_class, instant now)
 {
-    open_.emplace(placed, open_call{kind, now});
+    open_.emplace(placed, open_call{of_class, now});
 }
 
 void first_token_times::first_token(placement_id placed, instant now)
@@ -14,16 +14,16 @@
         return;
     }
     const duration took = now - found->second.since;
-    const auto [average, is_first] = averages_.try_emplace(found->second.kind, took);
+    const auto [average, is_first] = averages_.try_emplace(found->second.of_class, took);
     if (!is_first) {
         average->second += scaled(took - average->second, newest_weight);
     }
     open_.erase(found);
 }
 
-auto first_token_times::expected(const call_class& kind) const -> duration
+auto first_token_times::expected(const call_class& of_class) const -> duration
 {
-    const auto found = averages_.find(kind);
+    const auto found = averages_.find(of_class);
     return found == averages_.end() ? duration::zero() : found->second;
 }
 
--- a/src/direct/load_tracker.cpp
+++ b/src/direct/load_tracker.cpp
@@ -11,98 +11,100 @@
 auto load_tracker::reported_load::at(instant now) const -> upstream_load
 {
     upstream_load current = load;
-    current.pending_prefill = std::max(read_until - now, scaled(load.pending_prefill, least_unread_share));
+    current.pending_prefill =
+        std::max(prefill_until - now, scaled(load.pending_prefill, min_pending_prefill_share));
     return current;
 }
 
 auto load_tracker::place(placement call, instant now) -> placement_id
 {
-    ++own_changes_;
+    ++own_version_;
     add(call, now);
     const placement_id id = ++next_id_;
     placed_.emplace(id, placed_call{std::move(call), false});
     return id;
 }
 
-void load_tracker::reading_done(placement_id id, instant now)
+void load_tracker::prefill_done(placement_id id, instant now)
 {
     const auto found = placed_.find(id);
-    if (found == placed_.end() || found->second.read) {
+    if (found == placed_.end() || found->second.prefilled) {
         return;
     }
     const placement& call = found->second.call;
-    found->second.read = true;
-    ++own_changes_;
-    reported_load& own = changing(stable_hash(call.upstream));
+    found->second.prefilled = true;
+    ++own_version_;
+    reported_load& own = modify_own(stable_hash(call.upstream));
     own.load.unread_calls -= call.is_long ? 1 : 0;
-    end_reading(own, call.reading, now);
-    for (const helper_share& helper : call.helpers) {
-        reported_load& other = changing(stable_hash(helper.upstream));
+    subtract_prefill(own, call.prefill_time, now);
+    for (const prefill_share& share : call.prefill_engines) {
+        reported_load& other = modify_own(stable_hash(share.upstream));
         --other.load.parts;
-        end_reading(other, call.reading, now);
+        subtract_prefill(other, call.prefill_time, now);
     }
 }
 
-auto load_tracker::changing(upstream_key upstream) -> reported_load&
+auto load_tracker::modify_own(upstream_key upstream) -> reported_load&
 {
     reported_load& own = own_[upstream];
-    own.changed = own_changes_;
+    own.changed_version = own_version_;
     return own;
 }
 
-void load_tracker::end_reading(reported_load& reader, duration reading, instant now) const
+void load_tracker::subtract_prefill(reported_load& engine, duration prefill_time, instant now) const
 {
-    // Reading is done in the order of arrival, so that what was forecast for it is over now, and only what
-    // was added later remains.
-    reader.load.pending_prefill = std::max(reader.load.pending_prefill - reading, duration::zero());
-    reader.read_until = std::min(reader.read_until, now + reader.load.pending_prefill);
+    // Prefill runs in the order of arrival: this call's prediction is consumed, and only the prefill that was
+    // added later remains.
+    engine.load.pending_prefill = std::max(engine.load.pending_prefill - prefill_time, duration::zero());
+    engine.prefill_until = std::min(engine.prefill_until, now + engine.load.pending_prefill);
 }
 
 void load_tracker::finish(placement_id id, instant now)
 {
-    reading_done(id, now);
+    prefill_done(id, now);
     const auto found = placed_.find(id);
     if (found == placed_.end()) {
         return;
     }
     const placement call = std::move(found->second.call);
     placed_.erase(found);
-    ++own_changes_;
-    reported_load& own = changing(stable_hash(call.upstream));
+    ++own_version_;
+    reported_load& own = modify_own(stable_hash(call.upstream));
     --(call.is_long ? own.load.long_calls : own.load.short_calls);
     own.load.memory_tokens -= call.memory_tokens;
     if (call.tbt_target > duration::zero()) {
-        if (--own.pauses[call.tbt_target] == 0) {
-            own.pauses.erase(call.tbt_target);
+        if (--own.tbt_targets[call.tbt_target] == 0) {
+            own.tbt_targets.erase(call.tbt_target);
         }
-        own.load.tightest_tbt_target = own.pauses.empty() ? duration::zero() : own.pauses.begin()->first;
+        own.load.tightest_tbt_target =
+            own.tbt_targets.empty() ? duration::zero() : own.tbt_targets.begin()->first;
     }
     DRAGONFLYMILL_ASSERT(own.load.short_calls >= 0 && own.load.long_calls >= 0, "a call is finished once");
-    for (const helper_share& helper : call.helpers) {
-        changing(stable_hash(helper.upstream)).load.memory_tokens -= helper.reserved_tokens;
+    for (const prefill_share& share : call.prefill_engines) {
+        modify_own(stable_hash(share.upstream)).load.memory_tokens -= share.reserved_tokens;
     }
 }
 
 void load_tracker::add(const placement& call, instant now)
 {
-    const auto add_reading = [&](reported_load& reader) {
-        reader.load.pending_prefill += call.reading;
-        reader.read_until = std::max(reader.read_until, now) + call.reading;
+    const auto add_prefill = [&](reported_load& engine) {
+        engine.load.pending_prefill += call.prefill_time;
+        engine.prefill_until = std::max(engine.prefill_until, now) + call.prefill_time;
     };
-    reported_load& own = changing(stable_hash(call.upstream));
+    reported_load& own = modify_own(stable_hash(call.upstream));
     ++(call.is_long ? own.load.long_calls : own.load.short_calls);
     own.load.unread_calls += call.is_long ? 1 : 0;
     own.load.memory_tokens += call.memory_tokens;
     if (call.tbt_target > duration::zero()) {
-        ++own.pauses[call.tbt_target];
-        own.load.tightest_tbt_target = own.pauses.begin()->first;
+        ++own.tbt_targets[call.tbt_target];
+        own.load.tightest_tbt_target = own.tbt_targets.begin()->first;
     }
-    add_reading(own);
-    for (const helper_share& helper : call.helpers) {
-        reported_load& other = changing(stable_hash(helper.upstream));
+    add_prefill(own);
+    for (const prefill_share& share : call.prefill_engines) {
+        reported_load& other = modify_own(stable_hash(share.upstream));
         ++other.load.parts;
-        other.load.memory_tokens += helper.reserved_tokens;
-        add_reading(other);
+        other.load.memory_tokens += share.reserved_tokens;
+        add_prefill(other);
     }
 }
 
@@ -112,19 +114,19 @@
     if (known == own_.end() ? !suspect : known->second.load.suspected_by == (suspect ? 1 : 0)) {
         return;
     }
-    ++own_changes_;
-    changing(upstream).load.suspected_by = suspect ? 1 : 0;
+    ++own_version_;
+    modify_own(upstream).load.suspected_by = suspect ? 1 : 0;
 }
 
 void load_tracker::apply_report(const load_report& report, instant now)
 {
-    reported_loads& known = others_[report.gateway];
+    reported_loads& known = peers_[report.gateway];
     if (report.sequence <= known.sequence) {
         return;
     }
     known.sequence = report.sequence;
     if (report.is_complete) {
-        forget_loads(report.gateway, known);
+        remove_loads(report.gateway, known);
     }
     for (const auto& [upstream, load] : report.loads) {
         if (load == upstream_load{}) {
@@ -132,12 +134,12 @@
             known.upstreams.erase(upstream);
             continue;
         }
-        others_loads_[upstream][report.gateway] = reported_load{load, now + load.pending_prefill, {}, 0};
+        peer_loads_[upstream][report.gateway] = reported_load{load, now + load.pending_prefill, {}, 0};
         known.upstreams.insert(upstream);
     }
 }
 
-void load_tracker::forget_loads(const std::string& gateway, reported_loads& report)
+void load_tracker::remove_loads(const std::string& gateway, reported_loads& report)
 {
     for (const upstream_key upstream : report.upstreams) {
         remove_load(upstream, gateway);
@@ -147,21 +149,21 @@
 
 void load_tracker::remove_load(upstream_key upstream, const std::string& gateway)
 {
-    const auto reported = others_loads_.find(upstream);
-    if (reported == others_loads_.end()) {
+    const auto reported = peer_loads_.find(upstream);
+    if (reported == peer_loads_.end()) {
         return;
     }
     reported->second.erase(gateway);
     if (reported->second.empty()) {
-        others_loads_.erase(reported);
+        peer_loads_.erase(reported);
     }
 }
 
 void load_tracker::remove_gateway(const std::string& gateway)
 {
-    if (const auto known = others_.find(gateway); known != others_.end()) {
-        forget_loads(gateway, known->second);
-        others_.erase(known);
+    if (const auto known = peers_.find(gateway); known != peers_.end()) {
+        remove_loads(gateway, known->second);
+        peers_.erase(known);
     }
 }
 
@@ -171,8 +173,8 @@
     if (const auto own = own_.find(upstream); own != own_.end()) {
         sum = own->second.at(now);
     }
-    const auto reported = others_loads_.find(upstream);
-    if (reported == others_loads_.end()) {
+    const auto reported = peer_loads_.find(upstream);
+    if (reported == peer_loads_.end()) {
         return sum;
     }
     for (const auto& [gateway, from_gateway] : reported->second) {
@@ -199,7 +201,7 @@
     std::map<upstream_key, upstream_load> loads;
     for (const auto& [upstream, load] : own_) {
         const upstream_load current = load.at(now);
-        const bool reported = since ? load.changed > *since : current != upstream_load{};
+        const bool reported = since ? load.changed_version > *since : current != upstream_load{};
         if (reported) {
             loads.emplace(upstream, current);
         }
--- a/src/direct/prefill_plan.cpp
+++ b/src/direct/prefill_plan.cpp
@@ -12,24 +12,26 @@
 
 namespace {
 
-/// Backlogs that differ by less count as equal, so that the order of engines decides.
+/// Backlogs are compared in steps of this length; within a step the order of engines decides.
 constexpr duration backlog_step = 30ms;
-/// Reading on an engine that writes holds its streams up: worth this much backlog on one that doesn't.
-constexpr duration writer_penalty = 60ms;
-/// Prompts that an engine has to read for itself at once: each holds up what it writes by its length.
-constexpr int max_unread = 2;
-/// Engines that hold one prompt at most; the largest prompt needs three, and each holder slows its own
-/// writers.
-constexpr std::size_t max_holders = 8;
-/// Engines that are tried as a call's writer: the first that fit from the far end.
-constexpr std::size_t max_writers = 4;
-/// A plan with another writer, or another number of readers than wanted, has to be better by this share of
-/// the call's worth: long answers stay at few engines, and parts keep their length.
-constexpr double writer_margin = 0.05;
-constexpr double readers_margin = 0.02;
-/// Numbers of readers that are tried; between them a part's length changes by less than a fifth.
-constexpr std::array<std::size_t, 11> reader_counts{1, 2, 3, 4, 5, 6, 8, 10, 12, 14, 16};
-
+/// Prefill on an engine with active streams delays them; ranked as this much additional backlog.
+constexpr duration decode_penalty = 60ms;
+/// Maximum number of an engine's own prompts that are not yet prefilled: each delays the engine's streams by
+/// its whole prefill time.
+constexpr int max_pending_prefills = 2;
+/// Maximum number of engines that share one prompt's KV cache; the largest prompt needs three, and each such
+/// engine delays the streams that it decodes.
+constexpr std::size_t max_memory_engines = 8;
+/// Engines that are considered as decode engine of a call: the first that fit, from the end of the order.
+constexpr std::size_t max_decode_candidates = 4;
+/// A plan with another decode engine, or with another number of engines than the target, must be better by
+/// this share of the call's utility. This keeps long answers on few engines and the parts' length constant.
+constexpr double decode_engine_margin = 0.05;
+constexpr double engine_count_margin = 0.02;
+/// Engine counts that are considered; counts in between would change a part's time by less than a fifth.
+constexpr std::array<std::size_t, 11> engine_counts{1, 2, 3, 4, 5, 6, 8, 10, 12, 14, 16};
+
+/// Rises linearly from 0 at `begins` to 1 at `full`.
 auto ramp(double value, double begins, double full) -> double
 {
     return std::clamp((value - begins) / (full - begins), 0.0, 1.0);
@@ -43,10 +45,10 @@
 
 } // namespace
 
-prefill_planner::prefill_planner(const engine_forecast& forecast, duration wanted_part,
-                                 const call_shape& call, std::span<const dispatch_candidate> ordered)
+prefill_planner::prefill_planner(const engine_forecast& forecast, duration target_part_time,
+                                 const call_requirements& call, std::span<const dispatch_candidate> ordered)
     : forecast_(forecast)
-    , wanted_part_(wanted_part)
+    , target_part_time_(target_part_time)
     , call_(call)
     , ordered_(ordered)
 {
@@ -54,21 +56,21 @@
 
 auto prefill_planner::best(std::span<const dispatch_candidate> side) const -> std::optional<prefill_plan>
 {
-    std::vector<writer_choice> found = writers(side);
+    std::vector<decode_choice> found = decode_choices(side);
     if (found.empty()) {
-        found = writers(ordered_);
+        found = decode_choices(ordered_);
     }
     if (found.empty()) {
         return std::nullopt;
     }
-    const std::vector<readers_option> options = readers_options();
+    const std::vector<prefill_option> options = prefill_options();
     std::optional<plan_choice> chosen;
-    const double margin = writer_margin * worth();
+    const double margin = decode_engine_margin * call_utility();
     const auto better = [&](const prefill_plan& plan, const prefill_plan& than) {
-        return plan.benefit - plan.cost > than.benefit - than.cost + margin;
+        return plan.utility - plan.cost > than.utility - than.cost + margin;
     };
-    for (const writer_choice& writer : found) {
-        plan_choice plans = plan_for(writer, options);
+    for (const decode_choice& decode : found) {
+        plan_choice plans = plan_for(decode, options);
         if (!chosen) {
             chosen = std::move(plans);
             continue;
@@ -76,35 +78,36 @@
         if (better(plans.best, chosen->best)) {
             chosen->best = std::move(plans.best);
         }
-        if (plans.now && (!chosen->now || better(*plans.now, *chosen->now))) {
-            chosen->now = std::move(plans.now);
+        if (plans.immediate && (!chosen->immediate || better(*plans.immediate, *chosen->immediate))) {
+            chosen->immediate = std::move(plans.immediate);
         }
     }
-    return chosen_of(std::move(*chosen));
+    return choose_plan(std::move(*chosen));
 }
 
-auto prefill_planner::best_for(const dispatch_candidate& writer) const -> prefill_plan
+auto prefill_planner::best_for(const dispatch_candidate& decode_engine) const -> prefill_plan
 {
-    return plan_for({&writer, memory_need(call_), {}}, readers_options()).best;
+    return plan_for({&decode_engine, required_memory(call_), {}}, prefill_options()).best;
 }
 
 auto prefill_planner::acceptable(const prefill_plan& plan) const -> bool
 {
     const duration first = plan.first_token();
-    const bool on_time = first <= call_.time_to_aim;
-    const duration stays = scaled(call_.time_to_leave, stay_share);
-    const duration left = (on_time ? call_.time_to_aim : stays) - first;
-    const duration whole = on_time ? std::max(call_.aim, call_.time_to_aim) : stays;
-    const double patience = std::clamp(ratio(left, whole), 0.0, 1.0);
-    return plan.cost <= plan.benefit * (1.0 - patience);
+    const bool on_time = first <= call_.time_to_target;
+    const duration latest = scaled(call_.time_to_client_timeout, client_timeout_share);
+    const duration left = (on_time ? call_.time_to_target : latest) - first;
+    const duration whole = on_time ? std::max(call_.latency_target, call_.time_to_target) : latest;
+    const double share_left = std::clamp(ratio(left, whole), 0.0, 1.0);
+    return plan.cost <= plan.utility * (1.0 - share_left);
 }
 
-auto prefill_planner::obstacle_to(const prefill_plan& plan) const -> wait_reason
+auto prefill_planner::reason_to_wait(const prefill_plan& plan) const -> wait_reason
 {
-    const bool on_time = plan.first_token() <= call_.time_to_aim;
-    // Engines are busy for moments, but a late reading by the few that are free keeps them for seconds.
-    if (!on_time && fastest() <= call_.time_to_aim) {
-        return wait_reason::few_readers;
+    const bool on_time = plan.first_token() <= call_.time_to_target;
+    // Waiting frees engines within moments, while a late prefill on the few free ones occupies them for
+    // seconds.
+    if (!on_time && fastest_prefill_time() <= call_.time_to_target) {
+        return wait_reason::few_prefill_engines;
     }
     if (plan.backlog > (on_time ? max_backlog : max_backlog_when_late)) {
         return wait_reason::backlog;
@@ -112,41 +115,43 @@
     return acceptable(plan) ? wait_reason::none : wait_reason::cost;
 }
 
-auto prefill_planner::chosen_of(plan_choice found) const -> prefill_plan
+auto prefill_planner::choose_plan(plan_choice found) const -> prefill_plan
 {
-    if (!found.now) {
+    if (!found.immediate) {
         return std::move(found.best);
     }
-    const double used = 1.0 - ratio(std::max(call_.time_to_aim, duration::zero()), call_.aim);
-    const double longer = 1.0 + std::max(used, 0.0) * longer_by_wait;
-    const bool sooner = found.now->first_token() <= scaled(found.best.first_token(), longer);
-    return sooner ? std::move(*found.now) : std::move(found.best);
+    const double used = 1.0 - ratio(std::max(call_.time_to_target, duration::zero()), call_.latency_target);
+    const double longer = 1.0 + std::max(used, 0.0) * slowdown_per_waited_share;
+    const bool sooner = found.immediate->first_token() <= scaled(found.best.first_token(), longer);
+    return sooner ? std::move(*found.immediate) : std::move(found.best);
 }
 
-auto prefill_planner::fastest() const -> duration
+auto prefill_planner::fastest_prefill_time() const -> duration
 {
-    return forecast_.read_part(call_.prompt_tokens, static_cast<int>(most_readers()));
+    return forecast_.split_prefill_time(call_.prompt_tokens, static_cast<int>(max_engine_count()));
 }
 
-auto prefill_planner::writers(std::span<const dispatch_candidate> side) const -> std::vector<writer_choice>
+auto prefill_planner::decode_choices(std::span<const dispatch_candidate> side) const
+    -> std::vector<decode_choice>
 {
-    const std::int64_t tokens = memory_need(call_);
-    std::vector<writer_choice> found;
-    const dispatch_candidate* helping = nullptr;
-    for (auto engine = side.rbegin(); engine != side.rend() && found.size() < max_writers; ++engine) {
-        if (!may_write(*engine, tokens)) {
+    const std::int64_t tokens = required_memory(call_);
+    std::vector<decode_choice> found;
+    const dispatch_candidate* shared = nullptr;
+    for (auto engine = side.rbegin(); engine != side.rend() && found.size() < max_decode_candidates;
+         ++engine) {
+        if (!can_decode(*engine, tokens)) {
             continue;
         }
         if (engine->load.parts == 0) {
             found.push_back({&*engine, tokens, {}});
         }
-        else if (helping == nullptr || engine->load.pending_prefill < helping->load.pending_prefill) {
-            helping = &*engine;
+        else if (shared == nullptr || engine->load.pending_prefill < shared->load.pending_prefill) {
+            shared = &*engine;
         }
     }
-    // One that reads for others would read for them first, so it is taken only if there is no other.
-    if (found.empty() && helping != nullptr) {
-        found.push_back({helping, tokens, {}});
+    // An engine with prefill parts of other calls runs those first and is used only if there is no other.
+    if (found.empty() && shared != nullptr) {
+        found.push_back({shared, tokens, {}});
     }
     if (found.empty()) {
         if (auto gang = memory_gang(side)) {
@@ -157,32 +162,32 @@
 }
 
 auto prefill_planner::memory_gang(std::span<const dispatch_candidate> side) const
-    -> std::optional<writer_choice>
+    -> std::optional<decode_choice>
 {
-    const auto room = [this](const dispatch_candidate* engine) {
-        return free_memory(forecast_.figures(), *engine);
+    const auto capacity = [this](const dispatch_candidate* engine) {
+        return free_memory(forecast_.profile(), *engine);
     };
-    std::vector<const dispatch_candidate*> roomy;
+    std::vector<const dispatch_candidate*> by_capacity;
     for (auto engine = side.rbegin(); engine != side.rend(); ++engine) {
         if (!engine->suspect) {
-            roomy.push_back(&*engine);
+            by_capacity.push_back(&*engine);
         }
     }
-    std::stable_sort(roomy.begin(), roomy.end(),
-                     [&](const auto* a, const auto* b) { return room(a) > room(b); });
-    const std::size_t most = std::min(roomy.size(), max_holders);
-    for (std::size_t count = 2; count <= most; ++count) {
-        const std::int64_t share = memory_need(call_) / static_cast<std::int64_t>(count) + 1;
-        const auto end = roomy.begin() + static_cast<std::ptrdiff_t>(count);
-        const auto writer =
-            std::find_if(roomy.begin(), end, [&](const auto* engine) { return may_write(*engine, share); });
-        if (room(roomy[count - 1]) < share || writer == end) {
+    std::stable_sort(by_capacity.begin(), by_capacity.end(),
+                     [&](const auto* a, const auto* b) { return capacity(a) > capacity(b); });
+    const std::size_t max_count = std::min(by_capacity.size(), max_memory_engines);
+    for (std::size_t count = 2; count <= max_count; ++count) {
+        const std::int64_t share = required_memory(call_) / static_cast<std::int64_t>(count) + 1;
+        const auto end = by_capacity.begin() + static_cast<std::ptrdiff_t>(count);
+        const auto decode = std::find_if(by_capacity.begin(), end,
+                                         [&](const auto* engine) { return can_decode(*engine, share); });
+        if (capacity(by_capacity[count - 1]) < share || decode == end) {
             continue;
         }
-        writer_choice gang{*writer, share, {}};
-        for (auto engine = roomy.begin(); engine != end; ++engine) {
-            if (engine != writer) {
-                gang.holders.push_back({(*engine)->id, share});
+        decode_choice gang{*decode, share, {}};
+        for (auto engine = by_capacity.begin(); engine != end; ++engine) {
+            if (engine != decode) {
+                gang.reserved_shares.push_back({(*engine)->id, share});
             }
         }
         return gang;
@@ -190,36 +195,37 @@
     return std::nullopt;
 }
 
-auto prefill_planner::may_write(const dispatch_candidate& engine, std::int64_t tokens) const -> bool
+auto prefill_planner::can_decode(const dispatch_candidate& engine, std::int64_t tokens) const -> bool
 {
-    return has_slot(engine) && free_memory(forecast_.figures(), engine) >= tokens &&
-           engine.load.unread_calls < max_unread;
+    return has_slot(engine) && free_memory(forecast_.profile(), engine) >= tokens &&
+           engine.load.unread_calls < max_pending_prefills;
 }
 
-auto prefill_planner::plan_for(const writer_choice& writer, const std::vector<readers_option>& options) const
+auto prefill_planner::plan_for(const decode_choice& decode, const std::vector<prefill_option>& options) const
     -> plan_choice
 {
-    const std::size_t fixed = writer.holders.size() + 1;
-    const auto wanted = static_cast<double>(std::max(fixed, wanted_readers()));
-    const auto value_of = [&](const prefill_plan& plan) {
-        const auto readers = static_cast<double>(plan.helpers.size() + 1);
-        return plan.benefit - plan.cost - std::abs(std::log2(readers / wanted)) * readers_margin * worth();
+    const std::size_t min_engines = decode.reserved_shares.size() + 1;
+    const auto target = static_cast<double>(std::max(min_engines, target_engine_count()));
+    const auto score_of = [&](const prefill_plan& plan) {
+        const auto engines = static_cast<double>(plan.prefill_engines.size() + 1);
+        return plan.utility - plan.cost -
+               std::abs(std::log2(engines / target)) * engine_count_margin * call_utility();
     };
-    plan_choice chosen{plan_alone(writer), std::nullopt};
-    const auto note_begins = [&](const prefill_plan& plan) {
-        const bool better = !chosen.now || value_of(plan) > value_of(*chosen.now);
-        if (better && obstacle_to(plan) == wait_reason::none) {
-            chosen.now = plan;
+    plan_choice chosen{smallest_plan(decode), std::nullopt};
+    const auto consider_immediate = [&](const prefill_plan& plan) {
+        const bool better = !chosen.immediate || score_of(plan) > score_of(*chosen.immediate);
+        if (better && reason_to_wait(plan) == wait_reason::none) {
+            chosen.immediate = plan;
         }
     };
-    note_begins(chosen.best);
-    for (const readers_option& option : options) {
-        if (option.readers <= fixed) {
+    consider_immediate(chosen.best);
+    for (const prefill_option& option : options) {
+        if (option.engines <= min_engines) {
             continue;
         }
-        if (auto plan = plan_with(writer, option)) {
-            note_begins(*plan);
-            if (value_of(*plan) > value_of(chosen.best)) {
+        if (auto plan = plan_with(decode, option)) {
+            consider_immediate(*plan);
+            if (score_of(*plan) > score_of(chosen.best)) {
                 chosen.best = std::move(*plan);
             }
         }
@@ -227,164 +233,171 @@
     return chosen;
 }
 
-auto prefill_planner::plan_alone(const writer_choice& writer) const -> prefill_plan
+auto prefill_planner::smallest_plan(const decode_choice& decode) const -> prefill_plan
 {
-    const std::size_t readers = writer.holders.size() + 1;
+    const std::size_t engines = decode.reserved_shares.size() + 1;
     prefill_plan plan =
-        begin_plan(writer, forecast_.read_part(call_.prompt_tokens, static_cast<int>(readers)));
-    plan.benefit = benefit_of(plan.first_token());
+        base_plan(decode, forecast_.split_prefill_time(call_.prompt_tokens, static_cast<int>(engines)));
+    plan.utility = utility_of(plan.first_token());
     return plan;
 }
 
-auto prefill_planner::plan_with(const writer_choice& writer, const readers_option& option) const
+auto prefill_planner::plan_with(const decode_choice& decode, const prefill_option& option) const
     -> std::optional<prefill_plan>
 {
-    prefill_plan plan = begin_plan(writer, option.part);
-    for (const ranked_reader& reader : option.able) {
-        if (plan.helpers.size() + 1 == option.readers) {
+    prefill_plan plan = base_plan(decode, option.part_time);
+    for (const ranked_candidate& candidate : option.candidates) {
+        if (plan.prefill_engines.size() + 1 == option.engines) {
             break;
         }
-        if (is_chosen(writer, *reader.engine)) {
+        if (is_chosen(decode, *candidate.engine)) {
             continue;
         }
-        plan.helpers.push_back({reader.engine->id, 0});
-        plan.backlog = std::max(plan.backlog, reader.engine->load.pending_prefill);
-        plan.cost += reader.cost;
+        plan.prefill_engines.push_back({candidate.engine->id, 0});
+        plan.backlog = std::max(plan.backlog, candidate.engine->load.pending_prefill);
+        plan.cost += candidate.cost;
     }
-    if (plan.helpers.size() + 1 != option.readers) {
+    if (plan.prefill_engines.size() + 1 != option.engines) {
         return std::nullopt;
     }
-    plan.benefit = benefit_of(plan.first_token());
+    plan.utility = utility_of(plan.first_token());
     return plan;
 }
 
-auto prefill_planner::begin_plan(const writer_choice& writer, duration part) const -> prefill_plan
+auto prefill_planner::base_plan(const decode_choice& decode, duration part_time) const -> prefill_plan
 {
     prefill_plan plan;
-    plan.writer = writer.engine;
-    plan.writer_tokens = writer.tokens;
-    plan.helpers = writer.holders;
-    plan.part = part;
-    plan.backlog = writer.engine->load.pending_prefill;
-    plan.cost = cost_at(able_of(*writer.engine), part);
-    for (const helper_share& holder : writer.holders) {
-        const dispatch_candidate& engine = find(holder.upstream);
+    plan.decode_engine = decode.engine;
+    plan.decode_memory_tokens = decode.tokens;
+    plan.prefill_engines = decode.reserved_shares;
+    plan.part_time = part_time;
+    plan.backlog = decode.engine->load.pending_prefill;
+    plan.cost = cost_at(to_prefill_candidate(*decode.engine), part_time);
+    for (const prefill_share& share : decode.reserved_shares) {
+        const dispatch_candidate& engine = find(share.upstream);
         plan.backlog = std::max(plan.backlog, engine.load.pending_prefill);
-        plan.cost += cost_at(able_of(engine), part);
+        plan.cost += cost_at(to_prefill_candidate(engine), part_time);
     }
     return plan;
 }
 
-auto prefill_planner::is_chosen(const writer_choice& writer, const dispatch_candidate& engine) -> bool
+auto prefill_planner::is_chosen(const decode_choice& decode, const dispatch_candidate& engine) -> bool
 {
-    const auto holds = [&](const helper_share& share) { return share.upstream == engine.id; };
-    return engine.id == writer.engine->id || std::any_of(writer.holders.begin(), writer.holders.end(), holds);
+    const auto is_share_of = [&](const prefill_share& share) { return share.upstream == engine.id; };
+    return engine.id == decode.engine->id ||
+           std::any_of(decode.reserved_shares.begin(), decode.reserved_shares.end(), is_share_of);
 }
 
-auto prefill_planner::readers_options() const -> std::vector<readers_option>
+auto prefill_planner::prefill_options() const -> std::vector<prefill_option>
 {
-    const std::vector<able_reader> able = able_readers();
-    std::vector<readers_option> options;
-    for (const std::size_t readers : reader_counts) {
-        if (readers <= most_readers()) {
-            const duration part = forecast_.read_part(call_.prompt_tokens, static_cast<int>(readers));
-            options.push_back({readers, part, ranked(able, part)});
+    const std::vector<prefill_candidate> candidates = prefill_candidates();
+    std::vector<prefill_option> options;
+    for (const std::size_t engines : engine_counts) {
+        if (engines <= max_engine_count()) {
+            const duration part_time =
+                forecast_.split_prefill_time(call_.prompt_tokens, static_cast<int>(engines));
+            options.push_back({engines, part_time, ranked(candidates, part_time)});
         }
     }
     return options;
 }
 
-auto prefill_planner::able_readers() const -> std::vector<able_reader>
+auto prefill_planner::prefill_candidates() const -> std::vector<prefill_candidate>
 {
-    std::vector<able_reader> able;
-    able.reserve(ordered_.size());
+    std::vector<prefill_candidate> candidates;
+    candidates.reserve(ordered_.size());
     for (const dispatch_candidate& engine : ordered_) {
-        // An engine reads parts for others ahead of its own prompts: one that helped on and on would never
-        // come to its own, so those with an unread prompt are not asked to help.
+        // Engines run prefill parts of other calls before their own prompts. An engine that kept receiving
+        // parts would starve its own, so engines with a pending prefill of their own get none.
         if (!engine.suspect && engine.load.parts < engine.slots && engine.load.unread_calls == 0) {
-            able.push_back(able_of(engine));
+            candidates.push_back(to_prefill_candidate(engine));
         }
     }
-    return able;
+    return candidates;
 }
 
-auto prefill_planner::able_of(const dispatch_candidate& engine) const -> able_reader
+auto prefill_planner::to_prefill_candidate(const dispatch_candidate& engine) const -> prefill_candidate
 {
-    const duration disturbed = in_flight(engine) > 0 ? writer_penalty : duration::zero();
-    able_reader reader;
-    reader.engine = &engine;
-    reader.backlog_steps = (engine.load.pending_prefill + disturbed) / backlog_step;
-    reader.spread = mix_bits(engine.place ^ call_.spread);
+    const duration delay = in_flight(engine) > 0 ? decode_penalty : duration::zero();
+    prefill_candidate candidate;
+    candidate.engine = &engine;
+    candidate.backlog_steps = (engine.load.pending_prefill + delay) / backlog_step;
+    candidate.tie_breaker = mix_bits(engine.id_hash ^ call_.tie_breaker);
     if (engine.load.tightest_tbt_target > duration::zero()) {
-        const int writers = std::max(in_flight(engine), 1);
-        const double streams = writers + static_cast<double>(engine.load.memory_tokens) / tokens_per_worth;
-        reader.before =
-            engine.load.pending_prefill + forecast_.pass(writers, engine.load.memory_tokens / writers);
-        reader.streams_cost = streams * (1.0 - late_worth);
+        const int streams = std::max(in_flight(engine), 1);
+        const double utility = streams + static_cast<double>(engine.load.memory_tokens) / tokens_per_utility;
+        candidate.time_before_part = engine.load.pending_prefill +
+                                     forecast_.iteration_time(streams, engine.load.memory_tokens / streams);
+        candidate.streams_cost = utility * (1.0 - late_utility_share);
     }
-    return reader;
+    return candidate;
 }
 
-auto prefill_planner::ranked(const std::vector<able_reader>& able, duration part)
-    -> std::vector<ranked_reader>
+auto prefill_planner::ranked(const std::vector<prefill_candidate>& candidates, duration part_time)
+    -> std::vector<ranked_candidate>
 {
-    std::vector<ranked_reader> found;
-    found.reserve(able.size());
-    for (const able_reader& reader : able) {
-        found.push_back({reader.engine, cost_at(reader, part), reader.backlog_steps, reader.spread});
+    std::vector<ranked_candidate> found;
+    found.reserve(candidates.size());
+    for (const prefill_candidate& candidate : candidates) {
+        found.push_back({candidate.engine, cost_at(candidate, part_time), candidate.backlog_steps,
+                         candidate.tie_breaker});
     }
-    // No plan uses more than the first ones: its readers, and the engines that it passes over because they
-    // hold a part of its memory already.
-    const std::size_t used = std::min(found.size(), max_readers + max_holders + 1);
+    // A plan uses only the first of these: its prefill engines, and the engines that it skips because they
+    // reserve a share of its KV cache already.
+    const std::size_t used = std::min(found.size(), max_prefill_engines + max_memory_engines + 1);
     std::partial_sort(found.begin(), found.begin() + static_cast<std::ptrdiff_t>(used), found.end(),
-                      [](const ranked_reader& a, const ranked_reader& b) {
-                          return std::tuple(a.cost, a.backlog_steps, a.spread) <
-                                 std::tuple(b.cost, b.backlog_steps, b.spread);
+                      [](const ranked_candidate& a, const ranked_candidate& b) {
+                          return std::tuple(a.cost, a.backlog_steps, a.tie_breaker) <
+                                 std::tuple(b.cost, b.backlog_steps, b.tie_breaker);
                       });
     found.resize(used);
     return found;
 }
 
-auto prefill_planner::cost_at(const able_reader& reader, duration part) -> double
+auto prefill_planner::cost_at(const prefill_candidate& candidate, duration part_time) -> double
 {
-    if (reader.streams_cost == 0.0) {
+    if (candidate.streams_cost == 0.0) {
         return 0.0;
     }
-    const double pause = ratio(reader.before + part, reader.engine->load.tightest_tbt_target);
-    return reader.streams_cost * ramp(pause, cost_begins, cost_full);
+    const double tbt =
+        ratio(candidate.time_before_part + part_time, candidate.engine->load.tightest_tbt_target);
+    return candidate.streams_cost * ramp(tbt, tbt_cost_begins, tbt_cost_full);
 }
 
-auto prefill_planner::benefit_of(duration first_token) const -> double
+auto prefill_planner::utility_of(duration first_token) const -> double
 {
-    if (first_token > scaled(call_.time_to_leave, stay_share)) {
+    if (first_token > scaled(call_.time_to_client_timeout, client_timeout_share)) {
         return 0.0;
     }
-    const double late = call_.time_to_aim <= duration::zero()
-                            ? 1.0
-                            : ramp(ratio(first_token, call_.time_to_aim), late_begins, late_full);
-    return worth() * (1.0 - (1.0 - late_worth) * late);
+    const double late =
+        call_.time_to_target <= duration::zero()
+            ? 1.0
+            : ramp(ratio(first_token, call_.time_to_target), ttft_late_begins, ttft_late_full);
+    return call_utility() * (1.0 - (1.0 - late_utility_share) * late);
 }
 
-auto prefill_planner::worth() const -> double
+auto prefill_planner::call_utility() const -> double
 {
-    return 1.0 + static_cast<double>(call_.prompt_tokens) / tokens_per_worth;
+    return 1.0 + static_cast<double>(call_.prompt_tokens) / tokens_per_utility;
 }
 
-auto prefill_planner::wanted_readers() const -> std::size_t
+auto prefill_planner::target_engine_count() const -> std::size_t
 {
-    const duration whole = forecast_.read_alone(call_.prompt_tokens);
-    const bool late = fastest() > call_.time_to_aim;
-    // Late is late: a call that can't begin in time gets only as many engines as let it begin while its
-    // caller stays, and the others make no other call late.
-    const duration part = late ? scaled(call_.time_to_leave, stay_share) : wanted_part_;
-    const double parts = std::ceil(ratio(whole, part));
-    return std::clamp<std::size_t>(static_cast<std::size_t>(std::max(parts, 1.0)), 1, most_readers());
+    const duration total = forecast_.prefill_time(call_.prompt_tokens);
+    const bool late = fastest_prefill_time() > call_.time_to_target;
+    // A call that can't meet its target gets only as many engines as its first token needs to arrive before
+    // the client disconnects, which leaves the other engines to calls that can.
+    const duration part_time =
+        late ? scaled(call_.time_to_client_timeout, client_timeout_share) : target_part_time_;
+    const double parts = std::ceil(ratio(total, part_time));
+    return std::clamp<std::size_t>(static_cast<std::size_t>(std::max(parts, 1.0)), 1, max_engine_count());
 }
 
-auto prefill_planner::most_readers() const -> std::size_t
+auto prefill_planner::max_engine_count() const -> std::size_t
 {
-    const auto share = static_cast<std::size_t>(static_cast<double>(ordered_.size()) * reader_share);
-    return std::clamp<std::size_t>(share, 1, max_readers);
+    const auto share =
+        static_cast<std::size_t>(static_cast<double>(ordered_.size()) * max_prefill_engine_share);
+    return std::clamp<std::size_t>(share, 1, max_prefill_engines);
 }
 
 auto prefill_planner::find(const std::string& id) const -> const dispatch_candidate&
--- a/src/direct/saturation_tracker.cpp
+++ b/src/direct/saturation_tracker.cpp
@@ -6,34 +6,34 @@
 
 namespace {
 
-/// About the time in which a short answer ends and frees a place.
-constexpr duration least_return = 400ms;
-/// Callers come back within a third of the time that they have left.
-constexpr double most_of_time_left = 0.3;
-/// Returns are spread over this part of their time.
-constexpr double spread = 0.4;
+/// Typical time until a short answer ends and frees a slot.
+constexpr duration min_retry_after = 400ms;
+/// Clients retry within about a third of their remaining time, which leaves enough for an answer.
+constexpr double max_share_of_time_left = 0.3;
+/// Width of the jitter, relative to the time until the retry.
+constexpr double jitter = 0.4;
 
 } // namespace
 
-void saturation_tracker::no_room(instant now)
+void saturation_tracker::record_no_capacity(instant now)
 {
-    if (now - last_ > longest_gap) {
+    if (now - last_ > max_gap) {
         since_ = now;
     }
     last_ = now;
 }
 
-auto saturation_tracker::lasting(instant now) const -> duration
+auto saturation_tracker::saturated_for(instant now) const -> duration
 {
-    return now - last_ > longest_gap ? duration::zero() : now - since_;
+    return now - last_ > max_gap ? duration::zero() : now - since_;
 }
 
-auto return_time(duration saturated, duration time_left, std::uint64_t draw) -> duration
+auto retry_after_for(duration saturated, duration time_left, std::uint64_t random) -> duration
 {
     constexpr std::uint64_t steps = 1000;
-    const double part = static_cast<double>(draw % steps) / static_cast<double>(steps);
-    const duration wanted = scaled(std::max(saturated, least_return), 1.0 + spread * (part - 0.5));
-    return std::min(wanted, scaled(std::max(time_left, duration::zero()), most_of_time_left));
+    const double fraction = static_cast<double>(random % steps) / static_cast<double>(steps);
+    const duration wanted = scaled(std::max(saturated, min_retry_after), 1.0 + jitter * (fraction - 0.5));
+    return std::min(wanted, scaled(std::max(time_left, duration::zero()), max_share_of_time_left));
 }
 
 } // namespace dragonflymill::direct
--- a/src/direct/upstream_health.cpp
+++ b/src/direct/upstream_health.cpp
@@ -27,35 +27,35 @@
 {
     record& found = records_[upstream];
     found.failure_share += loss_weight * (1.0 - found.failure_share);
-    suspect_for(found, now);
+    mark_suspect(found, now);
 }
 
 void upstream_health::failed(const std::string& upstream, instant now)
 {
     record& found = records_[upstream];
     found.failure_share += failure_weight * (1.0 - found.failure_share);
-    if (found.failure_share > suspect_share) {
-        suspect_for(found, now);
+    if (found.failure_share > suspect_failure_share) {
+        mark_suspect(found, now);
     }
 }
 
 void upstream_health::full(const std::string& upstream, instant now)
 {
-    records_[upstream].full_until = now + full_pause;
+    records_[upstream].rejected_until = now + full_pause;
 }
 
-void upstream_health::suspect_for(record& found, instant now)
+void upstream_health::mark_suspect(record& found, instant now)
 {
-    // Calls that were under way together fail together: that is one failure, not many.
-    if (found.on_trial && now < found.suspect_until) {
+    // Calls that were in flight together fail together and count as one failure.
+    if (found.probing && now < found.suspect_until) {
         return;
     }
-    constexpr int most_doublings = 4;
-    const duration pause =
-        std::min(first_pause * (1 << std::min(found.losses, most_doublings)), longest_pause);
+    constexpr int max_doublings = 4;
+    const duration backoff =
+        std::min(first_pause * (1 << std::min(found.losses, max_doublings)), longest_pause);
     ++found.losses;
-    found.on_trial = true;
-    found.suspect_until = now + pause;
+    found.probing = true;
+    found.suspect_until = now + backoff;
 }
 
 void upstream_health::record_success(const std::string& upstream)
@@ -66,8 +66,8 @@
     }
     record& found = known->second;
     found.failure_share *= 1.0 - failure_weight;
-    found.on_trial = false;
-    if (found.failure_share < sound_share) {
+    found.probing = false;
+    if (found.failure_share < healthy_failure_share) {
         found.losses = std::max(found.losses - 1, 0);
     }
 }
@@ -78,10 +78,10 @@
     if (found == records_.end()) {
         return false;
     }
-    if (now < found->second.full_until) {
+    if (now < found->second.rejected_until) {
         return true;
     }
-    if (!found->second.on_trial) {
+    if (!found->second.probing) {
         return false;
     }
     return now < found->second.suspect_until || own_calls > 0;
--- a/tests/direct/call_dispatcher_test.cpp
+++ b/tests/direct/call_dispatcher_test.cpp
@@ -31,7 +31,7 @@
     return fleet;
 }
 
-auto leave(upstream_list& fleet, const std::string& id)
+auto start_draining(upstream_list& fleet, const std::string& id)
 {
     upstream_entry entry = fleet.upstreams().at(id).entry;
     entry.leaving = true;
@@ -57,7 +57,7 @@
 
 } // namespace
 
-Test(call_dispatcher, a_call_goes_to_an_upstream_with_room)
+Test(call_dispatcher, call_goes_to_an_upstream_with_capacity)
 {
     auto fleet = bookings(1, 2);
     auto decider = dispatcher();
@@ -72,9 +72,9 @@
     cr_assert(decider.decide(fleet, start).orders.size() == 1);
 }
 
-// A booking waits for room. Meanwhile the upstream that it would have gone to reports that it leaves; bound
-// to it at its arrival, the booking would be sent there after all.
-Test(call_dispatcher, a_waiting_call_is_not_sent_to_an_upstream_that_began_to_leave)
+// While a call is queued, the upstream that it would have used begins to drain. A call that was bound to an
+// upstream at its arrival would still be sent there.
+Test(call_dispatcher, queued_call_is_not_sent_to_a_draining_upstream)
 {
     auto fleet = bookings(1, 2);
     auto decider = dispatcher();
@@ -83,7 +83,7 @@
     const auto first = decider.decide(fleet, start);
     decider.add(call(3));
     cr_assert(decider.decide(fleet, start).orders.empty());
-    leave(fleet, "u0");
+    start_draining(fleet, "u0");
     for (const auto& order : first.orders) {
         decider.finish(order.placed, start);
     }
@@ -91,7 +91,7 @@
     cr_assert(round.orders.size() == 1 && round.orders[0].upstream.id == "u1");
 }
 
-Test(call_dispatcher, a_domain_that_is_out_gets_no_call_that_waited)
+Test(call_dispatcher, drained_domain_gets_no_queued_call)
 {
     auto fleet = bookings(4, 2);
     auto decider = dispatcher();
@@ -104,21 +104,21 @@
     }
 }
 
-// Nothing can serve the call: its caller is sent at once and comes back when there may be room, rather than
-// after its deadline has passed in a line that can't move.
-Test(call_dispatcher, what_no_upstream_can_take_is_refused_at_once)
+// No upstream can serve the call. Its client must be refused at once, with a time to retry, and not after its
+// deadline has passed in a queue that can't move.
+Test(call_dispatcher, call_is_refused_at_once_if_no_upstream_accepts_work)
 {
     auto fleet = bookings(4, 1);
-    leave(fleet, "u0");
+    start_draining(fleet, "u0");
     auto decider = dispatcher();
     decider.add(call(1));
     const auto round = decider.decide(fleet, start);
     cr_assert(round.refusals.size() == 1);
-    cr_assert(round.refusals[0].retry_after == call_dispatcher::retry_after_none);
+    cr_assert(round.refusals[0].retry_after == call_dispatcher::retry_after_no_upstream);
     cr_assert(decider.waiting() == 0);
 }
 
-Test(call_dispatcher, a_call_that_waited_too_long_is_refused)
+Test(call_dispatcher, call_is_refused_after_its_queue_timeout)
 {
     auto fleet = bookings(1, 1);
     auto decider = dispatcher();
@@ -130,9 +130,9 @@
     cr_assert(round.refusals.size() == 1 && round.refusals[0].call == 2);
 }
 
-// A burst makes the line longer than what can be on time. Calls that would be late in any case come last, so
-// that they don't make the others late as well.
-Test(call_dispatcher, what_can_still_be_on_time_goes_first)
+// A burst makes the queue longer than what can be served in time. Calls that are late in any case go last;
+// they would make the others late as well.
+Test(call_dispatcher, calls_that_can_meet_their_target_go_first)
 {
     auto fleet = bookings(1, 1);
     auto decider = dispatcher();
@@ -144,18 +144,18 @@
     cr_assert(round.orders.size() == 1 && round.orders[0].call == 2);
 }
 
-Test(call_dispatcher, a_more_urgent_call_goes_first)
+Test(call_dispatcher, call_with_higher_priority_goes_first)
 {
     auto fleet = bookings(1, 1);
     auto decider = dispatcher();
-    waiting_call lesser = call(1);
-    lesser.priority = 2;
-    decider.add(lesser);
+    waiting_call low_priority = call(1);
+    low_priority.priority = 2;
+    decider.add(low_priority);
     decider.add(call(2));
     cr_assert(decider.decide(fleet, start).orders.front().call == 2);
 }
 
-Test(call_dispatcher, a_caller_that_left_is_not_served)
+Test(call_dispatcher, call_whose_client_disconnected_is_not_sent)
 {
     auto fleet = bookings(1, 1);
     auto decider = dispatcher();
@@ -164,8 +164,9 @@
     cr_assert(decider.decide(fleet, start).orders.empty());
 }
 
-// An upstream comes back cold and idle and would be everybody's first choice; at full load it falls over.
-Test(call_dispatcher, a_cold_upstream_gets_its_part_only)
+// An upstream that restarts is cold and idle and would be every gateway's first choice; at full load it
+// crashes.
+Test(call_dispatcher, cold_upstream_gets_only_its_limited_rate)
 {
     auto fleet = bookings(100, 1);
     upstream_entry cold = fleet.upstreams().at("u0").entry;
@@ -184,19 +185,20 @@
     cr_assert(sent >= 4, "%d", sent);
 }
 
-Test(call_dispatcher, a_second_attempt_goes_elsewhere)
+Test(call_dispatcher, second_attempt_uses_another_upstream)
 {
     auto fleet = bookings(5, 2);
     auto decider = dispatcher();
-    waiting_call again = call(1);
-    again.attempts.dispatched();
-    again.attempts.ended(attempt_end::rejected, {"u0", "a"}, start);
-    decider.add(again);
+    waiting_call retried = call(1);
+    retried.attempts.dispatched();
+    retried.attempts.ended(attempt_end::rejected, {"u0", "a"}, start);
+    decider.add(retried);
     cr_assert(decider.decide(fleet, start).orders.front().upstream.id == "u1");
 }
 
-// One gateway may have a faulty way to an upstream; two others that also fail there prove it faulty.
-Test(call_dispatcher, what_two_others_find_faulty_is_avoided)
+// A single gateway may have a faulty network path to an upstream; two others that suspect it are evidence
+// enough.
+Test(call_dispatcher, avoids_an_upstream_that_two_other_gateways_suspect)
 {
     auto fleet = bookings(5, 2);
     auto decider = dispatcher();
@@ -215,13 +217,13 @@
 
 constexpr int engine_count = 16;
 
-/// Engines that stand in turn in so many failure domains, "d0", "d1" and so on.
+/// Returns engines that are assigned in turn to the failure domains "d0", "d1" and so on.
 auto engines(int domains = 1) -> upstream_list
 {
     upstream_list fleet;
     fleet_config::parts parts;
     parts.version = 1;
-    parts.services = {{"answers", 400, 3s, 0.0, sample_figures()}};
+    parts.services = {{"answers", 400, 3s, 0.0, sample_profile()}};
     route_rule route;
     route.services = {{"answers", 1}};
     route.kind = call_kind::streaming;
@@ -239,7 +241,7 @@
     return fleet;
 }
 
-auto document(std::uint64_t id) -> waiting_call
+auto long_call(std::uint64_t id) -> waiting_call
 {
     waiting_call made = call(id);
     made.service = "answers";
@@ -253,28 +255,28 @@
     return made;
 }
 
-/// A gateway's report that each engine has so much to read.
-auto reading_report(std::uint64_t sequence, duration reading) -> load_report
+/// Returns a gateway's report in which each engine has this pending prefill.
+auto prefill_report(std::uint64_t sequence, duration pending_prefill) -> load_report
 {
-    load_report report{"reader", sequence, true, {}};
-    for (int i = 0; i < engine_count && reading > 0s; ++i) {
+    load_report report{"other", sequence, true, {}};
+    for (int i = 0; i < engine_count && pending_prefill > 0s; ++i) {
         upstream_load& load = report.loads[stable_hash("e" + std::to_string(i))];
-        load.pending_prefill = reading;
+        load.pending_prefill = pending_prefill;
         load.parts = 1;
     }
     return report;
 }
 
-/// When a gateway of thirty sends a document that found all engines busy until `start` + 100 ms.
+/// Returns when one of thirty gateways sends a long call that found all engines busy until `start` + 100 ms.
 auto sent_after_waiting(std::uint64_t seed) -> instant
 {
     const auto fleet = engines();
     call_dispatcher decider({"a", {0.2, 10.0, 10s}, seed});
     decider.set_gateways(30);
-    decider.add(document(1));
-    decider.loads().apply_report(reading_report(1, 2s), start);
+    decider.add(long_call(1));
+    decider.loads().apply_report(prefill_report(1, 2s), start);
     cr_assert(decider.decide(fleet, start).orders.empty());
-    decider.loads().apply_report(reading_report(2, 0s), start + 100ms);
+    decider.loads().apply_report(prefill_report(2, 0s), start + 100ms);
     for (instant now = start + 100ms; now < start + 300ms; now += 1ms) {
         if (!decider.decide(fleet, now).orders.empty()) {
             return now;
@@ -285,11 +287,11 @@
 
 } // namespace
 
-// Three gateways hold documents that wait, and learn in the same moment that engines are idle. All sent at
-// once, to the same engines: each document was read behind the two others, and those that had to reserve
-// memory took it from each other and began again, together. Now each goes at a moment of its own, and the
-// next gateway has heard of it by then.
-Test(call_dispatcher, waiting_documents_of_several_gateways_do_not_go_at_once)
+// Several gateways have long calls queued and learn at the same moment that engines are idle. Sent at once to
+// the same engines, each prompt was prefilled behind the others; calls that had to reserve memory blocked
+// each other and retried together. With a random backoff, the next gateway knows of the first one's call in
+// time.
+Test(call_dispatcher, queued_long_calls_of_several_gateways_are_sent_at_different_times)
 {
     std::set<instant> moments;
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
@@ -300,22 +302,22 @@
     cr_assert(moments.size() >= 8, "%zu moments of 10 gateways", moments.size());
 }
 
-Test(call_dispatcher, a_document_that_finds_room_goes_at_once)
+Test(call_dispatcher, long_call_that_finds_capacity_is_sent_at_once)
 {
     const auto fleet = engines();
     auto decider = dispatcher();
     decider.set_gateways(30);
-    decider.add(document(1));
+    decider.add(long_call(1));
     cr_assert(decider.decide(fleet, start).orders.size() == 1);
 }
 
-// A gateway starts again and the calls of all its callers come at once. Decided in one round they must go
-// where they would have gone one by one: each sees what the ones before it take up, on cold upstreams too.
-Test(call_dispatcher, calls_of_one_round_see_each_other)
+// After a gateway restarts, all clients call at the same time. Calls decided in one round must go where they
+// would have gone one by one: each accounts for the load of those before it, also on cold upstreams.
+Test(call_dispatcher, calls_of_one_round_account_for_each_other)
 {
     const auto fleet = engines();
     const auto nth = [](std::uint64_t id) {
-        waiting_call made = document(id);
+        waiting_call made = long_call(id);
         const bool middle = id % 7 == 0;
         made.prompt_tokens = middle ? 40'000 : 5'000;
         made.tbt_target = middle ? 500ms : 200ms;
@@ -339,9 +341,9 @@
     }
 }
 
-// Pattern: more short calls than the upstreams serve. Guards against serving each call late by serving them
-// in the order of arrival: one that is late even if it goes now comes behind one that is not.
-Test(call_dispatcher, lateness_is_judged_by_the_first_token_times_seen)
+// More short calls arrive than the upstreams can serve. Served in order of arrival, every call would be late:
+// a call that is late even if it is sent now must go behind one that is not.
+Test(call_dispatcher, lateness_uses_the_measured_time_to_first_token)
 {
     call_dispatcher decider = dispatcher();
     upstream_list fleet = bookings(1, 1);
@@ -358,17 +360,17 @@
     decider.add(older);
     decider.add(newer);
     const auto next = decider.decide(fleet, start + 60ms).orders;
-    cr_assert(next.size() == 1 && next[0].call == 3, "50 ms are left of the older one's aim");
+    cr_assert(next.size() == 1 && next[0].call == 3, "the older call has 50 ms left until its target");
 }
 
-// Pattern: a burst that outlasts the first refusals. Guards against asking all callers back into it.
-Test(call_dispatcher, the_longer_there_is_no_room_the_later_callers_are_asked_back)
+// During a burst that outlasts the first refusals, clients must not be asked to retry while it lasts.
+Test(call_dispatcher, retry_after_grows_with_the_length_of_a_saturation)
 {
     call_dispatcher decider = dispatcher();
     upstream_list fleet = bookings(1, 1);
     decider.add(call(1));
     (void)decider.decide(fleet, start);
-    std::vector<duration> returns;
+    std::vector<duration> retry_times;
     for (std::uint64_t id = 2; id <= 22; ++id) {
         const instant now = start + 100ms * static_cast<int>(id);
         waiting_call refused = call(id);
@@ -377,18 +379,18 @@
         decider.add(refused);
         const auto round = decider.decide(fleet, now);
         cr_assert(round.refusals.size() == 1);
-        returns.push_back(round.refusals[0].retry_after);
+        retry_times.push_back(round.refusals[0].retry_after);
     }
-    cr_assert(returns.front() <= 500ms);
-    cr_assert(returns.back() >= 1600ms && returns.back() <= 2400ms);
+    cr_assert(retry_times.front() <= 500ms);
+    cr_assert(retry_times.back() >= 1600ms && retry_times.back() <= 2400ms);
 }
 
 namespace {
 
-/// A document that found the first two engines of a failure domain gone.
-auto document_after_losses_in(int domain) -> waiting_call
+/// Returns a long call that lost attempts at the first two engines of a failure domain.
+auto long_call_after_losses_in(int domain) -> waiting_call
 {
-    waiting_call made = document(1);
+    waiting_call made = long_call(1);
     for (int i = domain; i < domain + 4; i += 3) {
         made.attempts.dispatched();
         made.attempts.ended(attempt_end::reader_lost, {"e" + std::to_string(i), "d" + std::to_string(domain)},
@@ -397,36 +399,37 @@
     return made;
 }
 
-auto domains_of(const upstream_list& fleet, const dispatch_assignment& order) -> std::set<std::string>
+auto domains_of(const upstream_list& fleet, const dispatch_assignment& assignment) -> std::set<std::string>
 {
-    std::set<std::string> found{fleet.upstreams().at(order.upstream.id).entry.failure_domain};
-    for (const prefill_engine& helper : order.prefill_engines) {
-        found.insert(helper.upstream.failure_domain);
+    std::set<std::string> domains{fleet.upstreams().at(assignment.upstream.id).entry.failure_domain};
+    for (const prefill_engine& engine : assignment.prefill_engines) {
+        domains.insert(engine.upstream.failure_domain);
     }
-    return found;
+    return domains;
 }
 
 } // namespace
 
-// A failure domain of engines goes away; each plan for a document names readers there, of which a rejection
-// tells one. Four rejections later the document was refused, with two thirds of the engines idle.
-Test(call_dispatcher, a_domain_that_went_away_reads_no_part_of_a_document)
+// All engines of a failure domain are lost. Each plan for a long prompt used prefill engines there, and each
+// rejection names only one of them: after four rejections the call was refused although two thirds of the
+// engines were idle.
+Test(call_dispatcher, lost_domain_gets_no_prefill_part)
 {
     const auto fleet = engines(3);
     auto decider = dispatcher();
-    decider.add(document_after_losses_in(0));
+    decider.add(long_call_after_losses_in(0));
     const auto round = decider.decide(fleet, start);
     cr_assert(round.orders.size() == 1);
     const std::set<std::string> others{"d1", "d2"};
     cr_assert(domains_of(fleet, round.orders.front()) == others);
 }
 
-// Losses in the only failure domain there is must not keep a call from its other engines.
-Test(call_dispatcher, a_domain_is_not_avoided_if_there_is_no_other)
+// Losses in the only failure domain must not exclude its other engines.
+Test(call_dispatcher, only_domain_is_not_avoided)
 {
     const auto fleet = engines(1);
     auto decider = dispatcher();
-    waiting_call lost = document(1);
+    waiting_call lost = long_call(1);
     lost.attempts.dispatched();
     lost.attempts.ended(attempt_end::not_sent, {"e0", "d0"}, start);
     lost.attempts.ended(attempt_end::not_sent, {"e1", "d0"}, start);
@@ -434,24 +437,24 @@
     cr_assert(decider.decide(fleet, start).orders.size() == 1);
 }
 
-// Calls whose readers were gone were sent again as if for the first time: in an outage of a domain all
-// gateways together went over the retry budget that they share.
-Test(call_dispatcher, a_call_whose_reader_was_lost_draws_on_the_retry_budget)
+// Calls whose prefill engines were lost were sent again as if for the first time. In an outage of a domain
+// all gateways together exceeded the retry budget that they share.
+Test(call_dispatcher, retry_after_a_lost_prefill_engine_uses_the_retry_budget)
 {
     const auto fleet = engines(3);
     call_dispatcher decider({"d1", {0.0, 1.5, 10s}, 1});
     cr_assert(decider.retry_allowed("answers", start));
-    decider.add(document_after_losses_in(0));
+    decider.add(long_call_after_losses_in(0));
     cr_assert(decider.decide(fleet, start).orders.size() == 1);
     cr_assert(!decider.retry_allowed("answers", start));
 }
 
-// An upstream that refuses connections has had no arrival: going round it costs no second attempt.
-Test(call_dispatcher, a_call_that_reached_no_upstream_leaves_the_retry_budget_alone)
+// An upstream that refuses connections receives no call, so the next attempt costs no retry.
+Test(call_dispatcher, call_that_reached_no_upstream_does_not_use_the_retry_budget)
 {
     const auto fleet = engines(3);
     call_dispatcher decider({"d1", {0.0, 1.5, 10s}, 1});
-    waiting_call unsent = document(1);
+    waiting_call unsent = long_call(1);
     unsent.attempts.dispatched();
     unsent.attempts.ended(attempt_end::not_sent, {"e0", "d0"}, start);
     decider.add(unsent);
--- a/tests/direct/dispatch_policy_test.cpp
+++ b/tests/direct/dispatch_policy_test.cpp
@@ -10,44 +10,44 @@
 
 namespace {
 
-auto short_call() -> call_shape
+auto short_call() -> call_requirements
 {
-    return {5000, 1600, tight_pause, 2s, 300ms, "a", 1};
+    return {5000, 1600, tight_tbt_target, 2s, 300ms, "a", 1};
 }
 
-auto long_call(std::int64_t tokens = 210'000) -> call_shape
+auto long_call(std::int64_t tokens = 210'000) -> call_requirements
 {
     return {tokens, 800, 800ms, 12s, 3s, "a", 1};
 }
 
 auto policy() -> engine_dispatch
 {
-    return {sample_figures(), tight_pause};
+    return {sample_profile(), tight_tbt_target};
 }
 
 } // namespace
 
-Test(engine_forecast, reading_grows_with_the_pairs_of_a_prompt)
+Test(engine_forecast, prefill_time_grows_with_the_token_pairs_of_a_prompt)
 {
-    const engine_forecast forecast(sample_figures());
-    const duration small = forecast.read_alone(5'000);
-    const duration large = forecast.read_alone(1'000'000);
+    const engine_forecast forecast(sample_profile());
+    const duration small = forecast.prefill_time(5'000);
+    const duration large = forecast.prefill_time(1'000'000);
     cr_assert(small > 20ms && small < 25ms);
-    cr_assert(large > 49s && large < 52s, "pairs decide: 4 s for the tokens, 46 s for their pairs");
-    cr_assert(forecast.read_part(1'000'000, 16) < 3300ms);
-    cr_assert(forecast.pass(0, 0) > 42ms && forecast.pass(0, 0) < 43ms);
-    cr_assert(forecast.pass(12, 5'000) > forecast.pass(1, 5'000));
+    cr_assert(large > 49s && large < 52s, "attention dominates: 4 s for the tokens, 46 s for their pairs");
+    cr_assert(forecast.split_prefill_time(1'000'000, 16) < 3300ms);
+    cr_assert(forecast.iteration_time(0, 0) > 42ms && forecast.iteration_time(0, 0) < 43ms);
+    cr_assert(forecast.iteration_time(12, 5'000) > forecast.iteration_time(1, 5'000));
 }
 
-// A caller states a prompt of 10^17 tokens. Its reading was more than a number of microseconds holds and
-// became less than nothing: the call stood before all others, fitted nowhere, and held the line up.
-Test(engine_forecast, reading_of_an_absurd_prompt_is_long_not_negative)
+// A client states a prompt of 10^17 tokens. Its prefill time overflowed the microseconds and became negative:
+// the call went first in the queue, fitted nowhere, and blocked the queue.
+Test(engine_forecast, prefill_time_of_an_absurd_prompt_does_not_overflow)
 {
-    const engine_forecast forecast(sample_figures());
-    cr_assert(forecast.read_alone(100'000'000'000'000'000) >= forecast.read_alone(10'000'000));
+    const engine_forecast forecast(sample_profile());
+    cr_assert(forecast.prefill_time(100'000'000'000'000'000) >= forecast.prefill_time(10'000'000));
 }
 
-Test(plain_dispatch, the_least_loaded_upstream_is_taken_and_a_full_one_never)
+Test(plain_dispatch, chooses_the_least_loaded_upstream_and_never_a_full_one)
 {
     std::vector<dispatch_candidate> upstreams{{"u1", "a", 2, false, {2}}, {"u2", "b", 2, false, {1}}};
     cr_assert(plain_dispatch().choose({}, upstreams).choice->upstream == "u2");
@@ -55,17 +55,16 @@
     cr_assert(!plain_dispatch().choose({}, upstreams).choice);
 }
 
-Test(plain_dispatch, among_equals_the_own_failure_domain_is_taken)
+Test(plain_dispatch, prefers_the_own_failure_domain_among_equals)
 {
     const std::vector<dispatch_candidate> upstreams{{"u1", "b", 6, false, {}}, {"u2", "a", 6, false, {}}};
-    call_shape call;
+    call_requirements call;
     call.failure_domain = "a";
     cr_assert(plain_dispatch().choose(call, upstreams).choice->upstream == "u2");
 }
 
-// A suspect upstream is still better than none: the only booking service that failed once must not be cut
-// off.
-Test(plain_dispatch, a_suspect_upstream_is_the_last_choice)
+// A suspect upstream is better than none: the only upstream of a service must stay in use after a failure.
+Test(plain_dispatch, uses_a_suspect_upstream_as_last_resort)
 {
     std::vector<dispatch_candidate> upstreams{{"u1", "a", 6, true, {}}, {"u2", "a", 6, false, {5}}};
     cr_assert(plain_dispatch().choose({}, upstreams).choice->upstream == "u2");
@@ -73,8 +72,8 @@
     cr_assert(plain_dispatch().choose({}, upstreams).choice->upstream == "u1");
 }
 
-// Members on a call wait for short answers while a dossier of 210,000 tokens is read. Written on the engine
-// that reads it, each of their events would be held up by the reading: the two kinds go to different engines.
+// Clients wait for short answers while a prompt of 210,000 tokens is prefilled. On the same engine, the
+// prefill would delay each event of the short answers.
 Test(engine_dispatch, short_and_long_prompts_go_to_different_engines)
 {
     auto all = idle_engines(16);
@@ -83,75 +82,77 @@
     cr_assert(first_short && first_long);
     cr_assert(first_short->upstream != first_long->upstream);
     cr_assert(!first_short->is_long && first_long->is_long);
-    for (const auto& helper : first_long->prefill_engines) {
-        cr_assert(helper.upstream != first_long->upstream);
+    for (const auto& share : first_long->prefill_engines) {
+        cr_assert(share.upstream != first_long->upstream);
     }
 }
 
-Test(engine_dispatch, a_long_prompt_is_read_in_parts_that_begin_within_its_aim)
+Test(engine_dispatch, long_prompt_is_prefilled_in_parts_within_its_target)
 {
     const auto choice = policy().choose(long_call(), idle_engines(16)).choice;
-    cr_assert(choice->prefill_engines.size() >= 8, "%zu helpers", choice->prefill_engines.size());
+    cr_assert(choice->prefill_engines.size() >= 8, "%zu prefill engines", choice->prefill_engines.size());
     cr_assert(choice->first_token < 500ms);
-    std::set<std::string> readers{choice->upstream};
-    for (const auto& helper : choice->prefill_engines) {
-        cr_assert(readers.insert(helper.upstream).second, "each engine reads one part");
-        cr_assert(helper.reserved_tokens == 0);
+    std::set<std::string> engines{choice->upstream};
+    for (const auto& share : choice->prefill_engines) {
+        cr_assert(engines.insert(share.upstream).second, "each engine prefills one part");
+        cr_assert(share.reserved_tokens == 0);
     }
 }
 
-// The mix swings within a second from many long prompts to many short ones. The partition boundary is worked
-// out from the calls in hand, so that it follows with each call.
-Test(engine_dispatch, the_border_follows_the_short_calls_in_hand)
+// The mix changes within a second from many long prompts to many short ones. The partition boundary is
+// computed from the calls in flight for each call and follows at once.
+Test(engine_dispatch, partition_boundary_follows_the_short_calls_in_flight)
 {
     auto all = idle_engines(16);
-    cr_assert(policy().short_partition(all) == 1);
+    cr_assert(policy().short_partition_size(all) == 1);
     for (auto& engine : all) {
         engine.load.short_calls = 6;
     }
-    cr_assert(policy().short_partition(all) == 9, "97 calls on engines of 16 slots filled to three quarters");
+    cr_assert(policy().short_partition_size(all) == 9,
+              "97 calls on engines of 16 slots filled to three quarters");
     for (auto& engine : all) {
         engine.load.short_calls = 16;
         engine.load.parts = 1;
     }
-    cr_assert(policy().short_partition(all) == 15, "one engine is left for long prompts while there are any");
+    cr_assert(policy().short_partition_size(all) == 15,
+              "one engine is left for long prompts while there are any");
 }
 
-// A prompt's first token comes seconds late: its engine read parts of other prompts, one after the other,
-// ahead of its own. An engine with an unread prompt isn't asked to help.
-Test(engine_dispatch, an_engine_with_an_unread_prompt_does_not_help)
+// A prompt's first token arrived seconds late because its engine prefilled parts of other prompts, one after
+// the other, before its own. An engine with a pending prefill of its own must get no parts.
+Test(engine_dispatch, engine_with_a_pending_prefill_gets_no_parts)
 {
     auto all = idle_engines(16);
-    std::set<std::string> unread;
+    std::set<std::string> pending;
     for (std::size_t i = 4; i < 10; ++i) {
         all[i].load.unread_calls = 1;
         all[i].load.long_calls = 1;
-        unread.insert(all[i].id);
+        pending.insert(all[i].id);
     }
     const auto choice = policy().choose(long_call(), all).choice;
     cr_assert(choice.has_value());
-    for (const auto& helper : choice->prefill_engines) {
-        cr_assert(!unread.contains(helper.upstream));
+    for (const auto& share : choice->prefill_engines) {
+        cr_assert(!pending.contains(share.upstream));
     }
 }
 
-// Engines that write streams read for others only as long as the tightest of those streams bears.
-Test(engine_dispatch, reading_for_others_stays_within_what_an_engine_writes)
+// Prefill parts beside streams must be short enough for the tightest TBT target of these streams.
+Test(engine_dispatch, parts_respect_the_tightest_tbt_target_of_an_engine)
 {
     auto all = idle_engines(16);
     for (auto& engine : all) {
         engine.load.short_calls = 4;
-        engine.load.tightest_tbt_target = tight_pause;
+        engine.load.tightest_tbt_target = tight_tbt_target;
     }
     const auto choice = policy().choose(long_call(90'000), all).choice;
     cr_assert(choice.has_value());
     for (std::size_t i = 0; i < choice->prefill_engines.size(); ++i) {
-        cr_assert(choice->reading < tight_pause / 2);
+        cr_assert(choice->prefill_time < tight_tbt_target / 2);
     }
     cr_assert(!choice->prefill_engines.empty());
 }
 
-Test(engine_dispatch, long_calls_wait_while_what_they_need_is_busy)
+Test(engine_dispatch, long_call_waits_while_all_engines_are_busy)
 {
     auto all = idle_engines(16);
     for (auto& engine : all) {
@@ -161,11 +162,9 @@
     cr_assert(!policy().choose(long_call(), all).choice);
 }
 
-// A prompt of a million tokens is more than twice one engine's memory: its memory is reserved at
-// several engines, each with a share that fits, and the rest lies at the one that answers.
-// Pattern: a burst of long prompts. Guards against a prompt that is read for seconds by the one engine that
-// is free at the moment, though all others are free in a moment and would read it in time.
-Test(engine_dispatch, a_long_call_waits_for_engines_rather_than_be_read_late)
+// A burst of long prompts leaves one engine free for a moment. Alone, that engine prefilled the next prompt
+// for seconds, although all others were free soon after and could have met its target together.
+Test(engine_dispatch, long_call_waits_for_engines_if_that_meets_its_target)
 {
     auto engines = idle_engines(16);
     for (std::size_t i = 0; i + 1 < engines.size(); ++i) {
@@ -173,31 +172,33 @@
         engines[i].load.unread_calls = 1;
         engines[i].load.pending_prefill = 300ms;
     }
-    call_shape call = long_call(350'000);
+    call_requirements call = long_call(350'000);
     cr_assert(!policy().choose(call, engines).choice);
-    call.time_to_aim = 100ms;
+    call.time_to_target = 100ms;
     cr_assert(policy().choose(call, engines).choice.has_value(), "late in any case");
 }
 
-Test(engine_dispatch, a_prompt_over_one_engines_memory_is_held_by_several)
+// A prompt of a million tokens needs more than twice the memory of one engine. Memory is reserved at several
+// engines, each with a share that fits; the decode engine holds the rest.
+Test(engine_dispatch, prompt_beyond_one_engines_memory_is_shared_by_several)
 {
     const auto choice = policy().choose(long_call(1'000'000), idle_engines(16)).choice;
     cr_assert(choice.has_value());
-    std::int64_t held = choice->memory_tokens;
-    for (const auto& helper : choice->prefill_engines) {
-        held += helper.reserved_tokens;
-        cr_assert(helper.reserved_tokens <= sample_memory);
+    std::int64_t reserved = choice->memory_tokens;
+    for (const auto& share : choice->prefill_engines) {
+        reserved += share.reserved_tokens;
+        cr_assert(share.reserved_tokens <= sample_memory);
     }
-    cr_assert(held >= 1'000'800);
+    cr_assert(reserved >= 1'000'800);
     cr_assert(choice->memory_tokens <= sample_memory);
 }
 
-Test(engine_dispatch, a_prompt_over_all_memory_is_not_placed)
+Test(engine_dispatch, prompt_beyond_all_memory_is_not_placed)
 {
     cr_assert(!policy().choose(long_call(1'000'000), idle_engines(2)).choice);
 }
 
-Test(engine_dispatch, memory_that_others_fill_is_not_used_twice)
+Test(engine_dispatch, memory_used_by_other_calls_is_not_assigned)
 {
     auto all = idle_engines(3);
     for (auto& engine : all) {
@@ -208,12 +209,12 @@
     cr_assert(choice->memory_tokens <= sample_memory - 300'000);
 }
 
-// The longest prompts of a class whose streams bear short pauses only are written where the others are, and
-// read with help: written beside long answers they would be late by their pauses.
-Test(engine_dispatch, a_tight_stream_is_written_on_the_short_side_whatever_its_length)
+// A long prompt whose stream has the tightest TBT target is decoded in the short partition, with prefill
+// parts on other engines. Beside long answers it would miss its TBT target.
+Test(engine_dispatch, stream_with_the_tightest_target_stays_in_the_short_partition)
 {
     auto all = idle_engines(16);
-    call_shape call = short_call();
+    call_requirements call = short_call();
     call.prompt_tokens = 60'000;
     const auto choice = policy().choose(call, all).choice;
     cr_assert(choice.has_value() && !choice->is_long);
@@ -221,20 +222,20 @@
     cr_assert(!choice->prefill_engines.empty());
 }
 
-// A document that can't begin in time holds few engines: the others must be there for what still can.
-Test(engine_dispatch, a_call_that_will_be_late_gets_few_engines)
+// A call that can't meet its target must leave the other engines to calls that can.
+Test(engine_dispatch, late_call_uses_few_engines)
 {
-    call_shape late = long_call(400'000);
-    late.time_to_aim = 100ms;
+    call_requirements late = long_call(400'000);
+    late.time_to_target = 100ms;
     const auto choice = policy().choose(late, idle_engines(16)).choice;
     cr_assert(choice.has_value());
     cr_assert(choice->prefill_engines.size() <= 2, "%zu", choice->prefill_engines.size());
     cr_assert(choice->first_token <= 12s);
 }
 
-// Thirty gateways whose digests are some tens of milliseconds old see the same idle engines. Were they all to
-// choose the first of them, it would get thirty calls and the others none.
-Test(engine_dispatch, equal_engines_are_chosen_by_turns)
+// Thirty gateways with load digests that are some tens of milliseconds old see the same idle engines. With a
+// common order all would choose the first engine, which gets thirty calls while the others get none.
+Test(engine_dispatch, equal_engines_are_chosen_evenly)
 {
     auto all = idle_engines(16);
     for (auto& engine : all) {
@@ -242,31 +243,31 @@
     }
     std::set<std::string> chosen;
     for (std::uint64_t call = 0; call < 64; ++call) {
-        call_shape shape = short_call();
-        shape.spread = call;
-        chosen.insert(policy().choose(shape, all).choice->upstream);
+        call_requirements requirements = short_call();
+        requirements.tie_breaker = call;
+        chosen.insert(policy().choose(requirements, all).choice->upstream);
     }
     cr_assert(chosen.size() >= 8, "%zu", chosen.size());
 }
 
-Test(engine_dispatch, the_same_inputs_give_the_same_choice)
+Test(engine_dispatch, same_inputs_give_the_same_choice)
 {
     const auto all = idle_engines(16);
     cr_assert(policy().choose(long_call(), all).choice == policy().choose(long_call(), all).choice);
     cr_assert(!policy().choose(short_call(), {}).choice);
 }
 
-// Guards against refusals that only say "full": the log has to name what a long prompt waited for.
-Test(engine_dispatch, a_waiting_call_knows_what_it_waits_for)
+// Guards against refusals that only say "full": the log must state why a long prompt waited.
+Test(engine_dispatch, waiting_call_states_its_reason)
 {
     auto all = idle_engines(16);
-    cr_assert(policy().choose(long_call(), all).obstacle == wait_reason::none);
+    cr_assert(policy().choose(long_call(), all).blocked_by == wait_reason::none);
     for (dispatch_candidate& engine : all) {
         engine.load.pending_prefill = 2s;
     }
-    cr_assert(policy().choose(long_call(), all).obstacle == wait_reason::backlog);
+    cr_assert(policy().choose(long_call(), all).blocked_by == wait_reason::backlog);
     for (dispatch_candidate& engine : all) {
         engine.load.short_calls = engine.slots;
     }
-    cr_assert(policy().choose(long_call(), all).obstacle == wait_reason::no_engine);
+    cr_assert(policy().choose(long_call(), all).blocked_by == wait_reason::no_engine);
 }
--- a/tests/direct/engine_samples.h
+++ b/tests/direct/engine_samples.h
@@ -8,19 +8,19 @@
 
 namespace dragonflymill::direct {
 
-/// Shortest pause aim of the streams in tests.
-inline constexpr duration tight_pause = 200ms;
-/// Memory of a sample engine, in tokens.
+/// Tightest time between tokens (TBT) target of the streams in tests.
+inline constexpr duration tight_tbt_target = 200ms;
+/// KV cache of a sample engine, in tokens.
 inline constexpr std::int64_t sample_memory = 450'000;
 
-/// A model engine of eight accelerators: 256 tokens are read in a millisecond, an event is a pass of 46
-/// steps.
-inline auto sample_figures() -> engine_profile
+/// Profile of an engine with eight accelerators: prefill of 256 tokens per millisecond, and one event per
+/// iteration of 46 steps.
+inline auto sample_profile() -> engine_profile
 {
     return {16, sample_memory, 46, 0.925, 0.00483, 0.00254, 256.0, 0.0917, 2048};
 }
 
-/// Idle engines of 16 slots, in the order that all gateways share.
+/// Returns idle engines with 16 slots, in the order that all gateways share.
 inline auto idle_engines(int count) -> std::vector<dispatch_candidate>
 {
     std::vector<dispatch_candidate> made;
--- a/tests/direct/first_token_times_test.cpp
+++ b/tests/direct/first_token_times_test.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-Test(first_token_times, the_first_time_is_taken_whole_and_later_ones_by_degrees)
+Test(first_token_times, first_time_is_used_directly_and_later_ones_are_averaged)
 {
     first_token_times times;
     cr_assert(times.expected(drafts()) == 0s);
@@ -28,7 +28,7 @@
     cr_assert(times.expected(drafts()) > 100ms && times.expected(drafts()) < 150ms);
 }
 
-Test(first_token_times, only_the_first_token_of_a_call_counts)
+Test(first_token_times, ignores_all_but_the_first_token_of_a_call)
 {
     first_token_times times;
     times.dispatched(1, drafts(), now);
@@ -37,7 +37,7 @@
     cr_assert(times.expected(drafts()) == 100ms);
 }
 
-Test(first_token_times, calls_that_ended_without_a_token_and_other_classes_are_left_out)
+Test(first_token_times, ignores_calls_without_a_token_and_other_classes)
 {
     first_token_times times;
     times.dispatched(1, drafts(), now);
--- a/tests/direct/shared_bounds_test.cpp
+++ b/tests/direct/shared_bounds_test.cpp
@@ -13,23 +13,23 @@
 
 constexpr retry_budget_limits bounds{0.2, 100.0, 10s};
 
-/// Arrivals of all gateways in the last window.
+/// Attempts of all gateways in the last window.
 struct window_sum
 {
-    std::deque<std::pair<instant, bool>> arrivals; // whether it is a second one
+    std::deque<std::pair<instant, bool>> arrivals; // whether it is a retry
 
-    void add(instant now, bool again)
+    void add(instant now, bool is_retry)
     {
-        arrivals.emplace_back(now, again);
+        arrivals.emplace_back(now, is_retry);
         while (now - arrivals.front().first > bounds.window) {
             arrivals.pop_front();
         }
     }
-    [[nodiscard]] auto count(bool again) const -> double
+    [[nodiscard]] auto count(bool is_retry) const -> double
     {
         double sum = 0;
         for (const auto& arrival : arrivals) {
-            sum += arrival.second == again ? 1 : 0;
+            sum += arrival.second == is_retry ? 1 : 0;
         }
         return sum;
     }
@@ -37,9 +37,9 @@
 
 } // namespace
 
-// Every call fails and each of thirty gateways wants to send each again. Over any ten seconds the second
-// arrivals of all together stay within the share and the one slack that they have in common.
-Test(retry_window, the_sum_over_all_gateways_stays_in_the_bound)
+// Every call fails and each of thirty gateways wants to retry each. Over any ten seconds, the retries of all
+// gateways must stay within the share of first attempts and the one slack that they have in common.
+Test(retry_window, retries_of_all_gateways_stay_within_the_budget)
 {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         random_source random(seed);
@@ -61,9 +61,9 @@
     }
 }
 
-// All gateways start at once after a power loss, and their first calls fail. None knows how many others there
-// are: had each taken the whole slack, the upstreams that are left would get thirty times of it.
-Test(retry_window, a_gateway_that_counts_many_takes_next_to_nothing)
+// All gateways start at once after a power loss, their first calls fail, and none knows how many others there
+// are. If each used the whole slack, the remaining upstreams would get thirty times of it.
+Test(retry_window, gateway_among_many_gets_a_small_part_of_the_slack)
 {
     retry_window window;
     const instant now(100s);
@@ -77,7 +77,7 @@
     cr_assert(taken <= 2, "%d", taken);
 }
 
-Test(retry_window, what_is_older_than_the_window_is_forgotten)
+Test(retry_window, calls_older_than_the_window_expire)
 {
     retry_window window;
     const instant now(100s);
@@ -88,17 +88,17 @@
     cr_assert(!window.available(now + 60s, {0.2, 0.0, 10s}, 1));
 }
 
-// A failure domain comes back with cold upstreams and each of twelve gateways sees an idle one. In no second
-// may it get more than it bears from all of them.
-Test(cold_start_limiter, the_sum_over_all_gateways_stays_in_the_rate)
+// A failure domain recovers with cold upstreams, and each of twelve gateways sees an idle one. In no second
+// may it get more than its limit for all gateways.
+Test(cold_start_limiter, calls_of_all_gateways_stay_within_the_rate)
 {
     constexpr int gateways = 12;
     constexpr double rate = 38.0;
-    std::vector<cold_start_limiter> shares(gateways);
+    std::vector<cold_start_limiter> limiters(gateways);
     std::deque<instant> sent;
     for (int step = 0; step < 40'000; ++step) {
         const instant now = instant(100s) + step * 250us;
-        if (shares[static_cast<std::size_t>(step) % gateways].take(now, rate, gateways)) {
+        if (limiters[static_cast<std::size_t>(step) % gateways].take(now, rate, gateways)) {
             sent.push_back(now);
         }
         while (!sent.empty() && now - sent.front() >= 1s) {
