--- a/include/dragonflymill/direct/call_dispatcher.h
+++ b/include/dragonflymill/direct/call_dispatcher.h
@@ -139,10 +139,10 @@
     /// Retry-after time of a call refused because no upstream accepts work.
     static constexpr duration retry_after_no_upstream = 700ms;
 
-    /// Each long call that was queued waits for a random backoff once there is capacity; the backoff's range
-    /// grows by this much per gateway. A load digest needs this long to reach the other gateways on the
-    /// processors of the smallest of them. Without the backoff, three of thirty gateways sent prompts of half
-    /// a million tokens to one engine within 7 ms, and none could reserve its memory.
+    /// Once there is capacity, each long call that was queued waits for a random backoff whose range grows by
+    /// this much per gateway: the time that a load digest needs to reach the other gateways, on the processor
+    /// of the smallest of them. Without the backoff, three of thirty gateways sent prompts of half a million
+    /// tokens to one engine within 7 ms, and none of them could reserve the memory it needed.
     static constexpr duration backoff_per_gateway = 2ms;
     /// Maximum backoff of a call that was queued.
     static constexpr duration max_backoff = 80ms;
--- a/include/dragonflymill/direct/prefill_plan.h
+++ b/include/dragonflymill/direct/prefill_plan.h
@@ -47,8 +47,8 @@
     /// Returns the best plan with a decode engine from `side`, or from all engines if none of `side` has
     /// capacity; nothing if no engine has. A plan that can start now is preferred to one that has to wait,
     /// unless waiting yields a sufficiently earlier first token: eight idle engines are used rather than
-    /// sixteen of which two have a long backlog. All engines are considered because a burst of short prompts
-    /// can leave one engine on the long side, whose memory is too small for the largest prompts.
+    /// sixteen of which two have a long backlog. The fallback to all engines serves the largest prompts: a
+    /// burst of short prompts can leave one engine in `side`, whose memory is too small for them.
     [[nodiscard]] auto best(std::span<const dispatch_candidate> side) const -> std::optional<prefill_plan>;
     /// Returns the best plan with the given decode engine.
     [[nodiscard]] auto best_for(const dispatch_candidate& decode_engine) const -> prefill_plan;
@@ -82,7 +82,7 @@
     static constexpr duration max_backlog = 120ms;
     /// The same for calls that have missed their target already: they must not delay other calls.
     static constexpr duration max_backlog_when_late = 60ms;
-    /// Maximum number of engines per prompt that the engines' protocol allows.
+    /// Maximum number of engines per prompt that the engines allow.
     static constexpr std::size_t max_prefill_engines = 16;
     /// A new call starts at once if that yields its first token no later than the best plan, which has to
     /// wait. The forecast of that wait ignores competing calls, so a call that has waited for a share `s` of
--- a/src/direct/dispatch_policy.cpp
+++ b/src/direct/dispatch_policy.cpp
@@ -58,15 +58,15 @@
     -> std::size_t
 {
     int short_calls = 0;
-    int long_calls = 0;
+    int long_prompts = 0;
     for (const dispatch_candidate& engine : candidates) {
         short_calls += engine.load.short_calls;
-        long_calls += engine.load.long_calls + engine.load.parts;
+        long_prompts += engine.load.long_calls + engine.load.parts;
     }
     const double calls_per_engine = std::max(1.0, forecast_.profile().slots * short_fill);
     const auto required = static_cast<std::size_t>(std::ceil((short_calls + 1) / calls_per_engine));
     const std::size_t count = candidates.size();
-    const std::size_t max_size = long_calls > 0 && count > 1 ? count - 1 : count;
+    const std::size_t max_size = long_prompts > 0 && count > 1 ? count - 1 : count;
     return std::clamp<std::size_t>(required, 1, std::max<std::size_t>(max_size, 1));
 }
 
