--- a/include/dragonflymill/direct/attempt_rules.h
+++ b/include/dragonflymill/direct/attempt_rules.h
@@ -4,66 +4,66 @@
 
 namespace dragonflymill::direct {
 
-/// How an attempt at an upstream ended without an answer that may be passed on.
+/// How an attempt at an upstream ended without a response that may be forwarded to the caller.
 enum class attempt_end
 {
-    not_sent,    ///< No connection: no byte of the request left.
-    rejected,    ///< The upstream has no room; it has not run the request and won't.
-    misdirected, ///< The same, as another upstream answers at the address.
-    reader_lost, ///< The same, as an engine that was to read a part of the prompt is gone.
-    failed,      ///< A failure that the upstream itself answered; the request ran.
-    overtaken,   ///< Silence of an engine that reads other prompts first; it may have run.
-    broken,      ///< Connection lost, silence or an answer that can't be used; it may have run.
+    not_sent,    ///< No connection: no byte of the request was sent.
+    rejected,    ///< The upstream has no free capacity; it has not run the request and will not.
+    misdirected, ///< Like `rejected`, because a different upstream answers at the address.
+    reader_lost, ///< Like `rejected`, because an engine that was to prefill a part of the prompt is gone.
+    failed,      ///< The upstream itself answered with a failure; the request ran.
+    overtaken,   ///< No response from an engine that prefills other prompts first; it may have run.
+    broken,      ///< Connection lost, timeout or unusable response; it may have run.
 };
 
-/// Whether the request may have run in an attempt that ended so.
+/// Returns whether the request may have run in an attempt that ended this way.
 [[nodiscard]] auto may_have_run(attempt_end end) -> bool;
-/// Whether an attempt that ended so shows that an upstream can't be reached. A connection that broke doesn't:
-/// one upstream may break off one answer.
+/// Returns whether an attempt that ended this way shows that an upstream is unreachable. A broken connection
+/// does not: an upstream may abort a single response.
 [[nodiscard]] auto is_unreachable(attempt_end end) -> bool;
 
-/// What is known of a request when an attempt has ended.
+/// State of a request when one of its attempts has ended.
 struct request_progress
 {
     bool repeatable = false;   ///< Whether it may run more than once.
-    bool answer_begun = false; ///< Whether the caller has the head of an answer.
-    bool may_have_run = false; ///< Whether any attempt so far may have run.
-    int attempts_run = 0;      ///< Attempts that may have run.
-    int rejections = 0;        ///< Attempts that upstreams refused for a reason of their own.
-    int max_attempts = 1;      ///< Upstreams that it may run at.
-    duration time_left{};      ///< Until its deadline or the route's time limit.
-    bool budget_left = false;  ///< Whether the retry budget allows another arrival.
+    bool answer_begun = false; ///< Whether the caller has received the head of a response.
+    bool may_have_run = false; ///< Whether it may have run in any attempt so far.
+    int attempts_run = 0;      ///< Attempts in which it may have run.
+    int rejections = 0;        ///< Attempts that upstreams rejected for reasons of their own.
+    int max_attempts = 1;      ///< Maximum number of upstreams that it may run at.
+    duration time_left{};      ///< Time until its deadline or the route's time limit, whichever is first.
+    bool budget_left = false;  ///< Whether the retry budget allows another attempt.
 
     friend auto operator==(const request_progress&, const request_progress&) -> bool = default;
 };
 
-/// What to do next.
+/// What to do after an attempt has ended.
 enum class next_step
 {
-    try_again,      ///< Send it to another upstream.
-    pass_failure,   ///< Pass on the failure that the upstream answered.
-    refuse_not_run, ///< Answer that it was not run; the caller may come back.
-    fail_unknown,   ///< Answer a failure that says nothing about whether it ran.
-    cut,            ///< Close the caller's connection, so that a part can't be taken for the whole.
+    try_again,      ///< Send the request to another upstream.
+    pass_failure,   ///< Forward the failure that the upstream answered.
+    refuse_not_run, ///< Answer that the request was not run; the caller may retry.
+    fail_unknown,   ///< Answer with a failure that leaves open whether the request ran.
+    cut,            ///< Close the caller's connection, to mark the response as incomplete.
 };
 
-/// Names for logs.
+/// Names as written to logs.
 [[nodiscard]] auto to_string(attempt_end end) -> const char*;
 [[nodiscard]] auto to_string(next_step step) -> const char*;
 
-/// Rejections that one request tries to get round. Each may mean that an engine was full by a hair; more
-/// would spend the shared retry budget on one request.
+/// Maximum number of rejections after which a request is still retried. A rejection may mean that an engine
+/// was only just full; more retries would spend the shared retry budget on a single request.
 inline constexpr int max_rejections = 3;
 
-/// No attempt begins with less time than this left: a plain call takes some 20 ms and a connection 3 ms, so
-/// its answer would come too late and the work would be for nothing.
+/// Minimum remaining time for starting an attempt. A short call takes about 20 ms and connecting 3 ms, so
+/// with less time the response would arrive too late and the work would be wasted.
 inline constexpr duration min_attempt_time = 30ms;
 
-/// Decides what follows an attempt that ended without an answer.
+/// Returns the next step after an attempt that ended without a response.
 ///
-/// Guards against running a call twice: an upstream that fell silent may have run it, and a second attempt
-/// would then book twice. Only calls that may be repeated go on after such an end; a refusal that the caller
-/// may take as "not run" is given only if no attempt can have run.
+/// Guards against running a call twice: an upstream that stopped responding may have run it, and a second
+/// attempt would run it again. After such an end only repeatable calls are retried, and the caller is told
+/// that its call was not run only if it cannot have run in any attempt.
 [[nodiscard]] auto decide_next_step(attempt_end end, const request_progress& progress) -> next_step;
 
 } // namespace dragonflymill::direct
--- a/include/dragonflymill/direct/call_attempts.h
+++ b/include/dragonflymill/direct/call_attempts.h
@@ -10,63 +10,64 @@
 
 namespace dragonflymill::direct {
 
-/// An upstream that an attempt ended at.
-struct attempt_place
+/// The upstream that caused the end of an attempt.
+struct attempted_upstream
 {
-    std::string upstream;       ///< The one at fault: it answered, was silent, or is the reader that is gone.
-    std::string failure_domain; ///< Where it runs.
+    std::string upstream;       ///< Id of the upstream that answered, did not respond, or is the lost prefill
+                                ///< engine.
+    std::string failure_domain; ///< Failure domain of the upstream.
 
-    friend auto operator==(const attempt_place&, const attempt_place&) -> bool = default;
+    friend auto operator==(const attempted_upstream&, const attempted_upstream&) -> bool = default;
 };
 
-/// What a call's attempts count for, and where the next one had better not go.
+/// Counts the attempts of one call and derives which upstreams and failure domains the next one avoids.
 ///
-/// Load that it answers: a failure domain of engines goes away, and each long prompt is read by engines of
-/// all domains together. Each plan then names several that are gone, of which a rejection tells one; leaving
-/// out only that one uses up all attempts before the last of them is known.
+/// Long prompts are prefilled by engines of all failure domains together. When a failure domain fails, each
+/// plan names several lost engines, but a rejection reports only one of them. Excluding only that engine
+/// would use up all attempts before the last lost engine is known, so the whole failure domain is avoided.
 class call_attempts
 {
 public:
-    /// The call was handed to an upstream.
+    /// Counts a dispatch of the call to an upstream.
     void dispatched() { ++dispatched_; }
-    /// An attempt ended without an answer that may be passed on.
-    void ended(attempt_end end, const attempt_place& place, instant now);
+    /// Records an attempt that ended without a response that may be forwarded.
+    void ended(attempt_end end, const attempted_upstream& attempted, instant now);
 
-    /// Whether an attempt has already been made in vain at this upstream.
+    /// Returns whether an attempt at this upstream has already ended without a response.
     [[nodiscard]] auto tried(std::string_view upstream) const -> bool;
-    /// Whether the next attempt had better go to another failure domain, if another has room.
+    /// Returns whether the next attempt should prefer other failure domains, if they have free capacity.
     [[nodiscard]] auto avoids(std::string_view failure_domain, instant now) const -> bool;
-    /// Whether any failure domain is avoided.
+    /// Returns whether any failure domain is avoided.
     [[nodiscard]] auto avoids_any(instant now) const -> bool;
-    /// How often it was handed to an upstream.
+    /// Number of times that the call was dispatched.
     [[nodiscard]] auto count() const -> std::uint64_t { return dispatched_; }
-    /// Attempts that reached an upstream, or may have.
+    /// Number of attempts that reached or may have reached an upstream.
     [[nodiscard]] auto arrivals() const -> int { return arrivals_; }
-    /// Attempts that may have run.
+    /// Number of attempts in which the call may have run.
     [[nodiscard]] auto run() const -> int { return run_; }
-    /// Attempts that an upstream refused for a reason of its own.
+    /// Number of attempts that an upstream rejected for a reason of its own.
     [[nodiscard]] auto rejections() const -> int { return rejections_; }
 
     friend auto operator==(const call_attempts&, const call_attempts&) -> bool = default;
 
-    /// Upstreams of a failure domain that have to be out of reach before the domain is avoided: one alone may
-    /// have crashed.
-    static constexpr int unreachable_to_avoid = 2;
-    /// How long a failure domain is avoided: upstreams that are gone leave the published list, or are back,
-    /// within seconds.
+    /// Number of unreachable upstreams in a failure domain from which on the domain is avoided. A single one
+    /// may merely have crashed.
+    static constexpr int domain_avoidance_threshold = 2;
+    /// Time for which a failure domain is avoided. Lost upstreams disappear from the published list, or
+    /// recover, within seconds.
     static constexpr duration domain_avoidance = 1s;
 
 private:
     /// An upstream that could not be reached.
     struct unreachable_upstream
     {
-        attempt_place place;
+        attempted_upstream attempted;
         instant seen_at{};
 
         friend auto operator==(const unreachable_upstream&, const unreachable_upstream&) -> bool = default;
     };
 
-    void note_unreachable(const attempt_place& place, instant now);
+    void record_unreachable(const attempted_upstream& attempted, instant now);
 
     std::uint64_t dispatched_ = 0;
     int arrivals_ = 0;
--- a/include/dragonflymill/direct/event_relay.h
+++ b/include/dragonflymill/direct/event_relay.h
@@ -8,49 +8,50 @@
 
 namespace dragonflymill::direct {
 
-/// What a piece of a stream came to.
+/// Result of parsing a piece of a server-sent event stream.
 struct relayed_events
 {
-    std::string bytes;       ///< Whole events that are to be passed on, as they came.
-    std::size_t events = 0;  ///< How many there are in `bytes`.
-    std::size_t dropped = 0; ///< Events that had been passed on before.
-    bool broken = false;     ///< The stream isn't one of events in rising order; nothing after may be used.
+    std::string bytes;       ///< Complete events to forward, unchanged.
+    std::size_t events = 0;  ///< Number of events in `bytes`.
+    std::size_t dropped = 0; ///< Number of events that were dropped because they had been forwarded before.
+    bool broken = false;     ///< An event exceeds `max_event_bytes`; the rest of the stream must not be used.
 
     friend auto operator==(const relayed_events&, const relayed_events&) -> bool = default;
 };
 
-/// Cuts an upstream's bytes into whole events and lets each id through once, in rising order, over any number
-/// of attempts. An upstream may die in the middle of an event: a part of an event is never passed on, since
-/// what follows comes from another upstream.
+/// Splits an upstream's bytes into complete events and forwards each event id once, in ascending order,
+/// across any number of attempts. Incomplete events are never forwarded: an upstream may crash in the middle
+/// of an event, and the bytes that follow then come from another upstream.
 class event_relay
 {
 public:
-    /// Ids up to `last_id` are at the caller already; empty for a stream from its start.
+    /// Starts after `last_id`, the last event that the caller already has; empty for a new stream.
     explicit event_relay(std::string last_id = {})
         : last_id_(std::move(last_id))
     {
     }
 
-    /// Takes the next bytes of the current attempt.
+    /// Parses the next bytes of the current attempt.
     [[nodiscard]] auto take(std::string_view bytes) -> relayed_events;
-    /// A new attempt begins: forgets the part of an event that the last one left.
-    void begin_attempt() { rest_.clear(); }
-    /// Whether a part of an event is left, so that the stream can't end here.
-    [[nodiscard]] auto has_partial_event() const -> bool { return !rest_.empty(); }
-    /// Id of the last event passed on; empty before the first.
+    /// Starts a new attempt: discards the incomplete event of the previous one.
+    void begin_attempt() { partial_event_.clear(); }
+    /// Returns whether an incomplete event is buffered, in which case the stream must not end here.
+    [[nodiscard]] auto has_partial_event() const -> bool { return !partial_event_.empty(); }
+    /// Id of the last event that was forwarded; empty before the first.
     [[nodiscard]] auto last_id() const -> const std::string& { return last_id_; }
 
-    /// Longest event; a longer one is taken for a fault of the upstream, so that it can't fill our memory.
+    /// Maximum size of an event in bytes. A larger one is treated as a fault of the upstream, to bound the
+    /// gateway's memory.
     static constexpr std::size_t max_event_bytes = 1'048'576;
 
 private:
     [[nodiscard]] auto is_next(std::string_view id) const -> bool;
 
-    std::string rest_;
+    std::string partial_event_;
     std::string last_id_;
 };
 
-/// Id that an event bears; nothing without one.
+/// Returns the `id` field of an event; nothing if it has none.
 [[nodiscard]] auto event_id(std::string_view event) -> std::optional<std::string_view>;
 
 } // namespace dragonflymill::direct
--- a/include/dragonflymill/direct/gossip_relay.h
+++ b/include/dragonflymill/direct/gossip_relay.h
@@ -11,105 +11,107 @@
 
 namespace dragonflymill::direct {
 
-/// Digests that a relay has gathered.
+/// Digests queued at a relay.
 struct relay_batch
 {
-    std::vector<peer_message> for_subscribers; ///< All of them.
-    std::vector<peer_message> for_relays;      ///< Those that came from their origin.
+    std::vector<peer_message> for_subscribers; ///< All queued digests.
+    std::vector<peer_message> for_relays;      ///< Those received directly from their origin.
 
     friend auto operator==(const relay_batch&, const relay_batch&) -> bool = default;
 };
 
-/// Decides how digests travel: in a small fleet from each gateway to each other one, in a large one through a
-/// relay in each failure domain, which forwards them in batches.
+/// Decides how digests are distributed: directly between all gateways in a small fleet, and through one relay
+/// per failure domain, which forwards them in batches, in a large fleet.
 ///
-/// Load that it answers: in a full mesh each gateway receives a datagram for each change at any other one,
-/// which a small host has no processor for from some dozens on, and nearly all of them cross a failure
-/// domain. Through relays the batches that a gateway receives are bounded by their interval, whatever the
-/// size of the fleet, and a change crosses to each other failure domain once.
+/// In a full mesh each gateway receives a datagram for each change at any other gateway. From some dozens of
+/// gateways on this exceeds the processor of a small host, and nearly all datagrams cross failure domains.
+/// With relays the rate at which a gateway receives batches is bounded by their interval, regardless of the
+/// size of the fleet, and a change is sent to each other failure domain once.
 ///
-/// A relay is a gateway like any other: it is the one with most processor of its domain, and relays as long
-/// as others subscribe to it. A subscriber that hears nothing from its relay takes the next one, and sends to
-/// all until that one is heard: when most gateways are killed at once, the relays are among them.
+/// A relay is an ordinary gateway: the one with the most processor of its failure domain. It relays as long
+/// as others subscribe to it. A subscriber that receives nothing from its relay selects the next one, and
+/// sends its digests to all gateways until it receives from that one: when most gateways are killed at once,
+/// the relays may be among them.
 class gossip_relay
 {
 public:
-    /// This gateway's name, address, failure domain, and processor in thousandths of a core.
+    /// `self` holds this gateway's name, address, failure domain, and processor in thousandths of a core.
     explicit gossip_relay(peer_digest self)
         : self_(std::move(self))
     {
     }
 
-    /// Decides anew; true if this gateway has to subscribe to another relay than before.
+    /// Selects the relay and the mode; returns true if this gateway must subscribe to a different relay.
     auto update(const peer_table& peers, instant now) -> bool;
-    /// Whether its digests go to all gateways: in a small fleet, and while it hears no relay.
+    /// Returns whether its digests go to all gateways: in a small fleet, and while it receives from no relay.
     [[nodiscard]] auto sends_to_all() const -> bool { return sends_to_all_; }
-    /// Address of the relay that it subscribes to; nothing if there is none, or it is its own relay.
+    /// Address of the relay that it subscribes to; nothing if there is none or this gateway is the relay.
     [[nodiscard]] auto relay() const -> const std::optional<std::string>& { return relay_; }
-    /// Whether it forwards digests.
-    [[nodiscard]] auto is_relay() const -> bool { return is_best_ || !subscribers_.empty(); }
+    /// Returns whether this gateway forwards digests.
+    [[nodiscard]] auto is_relay() const -> bool { return is_domain_relay_ || !subscribers_.empty(); }
 
-    /// A datagram came: notes subscriptions and what its relay sent, and gathers what is to be forwarded.
+    /// Handles a received datagram: records subscriptions and the relay's liveness, and queues the digests to
+    /// forward.
     void take(const peer_datagram& datagram, instant now);
-    /// A relay's own digest, to be forwarded like those of its subscribers.
+    /// Queues the relay's own digest, to be forwarded like those of its subscribers.
     void enqueue_own(const peer_message& message);
-    /// What was gathered since the last call.
+    /// Returns and clears the queued digests.
     [[nodiscard]] auto take_batch() -> relay_batch;
-    /// When what was gathered has to be sent; nothing if nothing was.
+    /// Time at which the queued digests must be sent; nothing if none are queued.
     [[nodiscard]] auto flush_at() const -> std::optional<instant>;
-    /// Notes that a batch was sent.
+    /// Records that a batch was sent.
     void flushed(instant now) { flushed_at_ = now; }
-    /// Whether subscribers have to hear that their relay lives.
+    /// Returns whether subscribers must receive a keepalive now.
     [[nodiscard]] auto keepalive_due(instant now) const -> bool;
 
-    /// Addresses of those that subscribed.
+    /// Addresses of the subscribers.
     [[nodiscard]] auto subscribers() const -> std::vector<std::string>;
-    /// Addresses of the gateways that relay, and of those that are to in the other failure domains.
+    /// Addresses of the gateways that relay, and of the best candidate in each other failure domain.
     [[nodiscard]] auto other_relays(const peer_table& peers, instant now) const -> std::vector<std::string>;
 
-    /// Up to so many gateways send to each other directly: as many datagrams then cost a small host about as
-    /// much processor as its callers.
+    /// Maximum number of gateways in a full mesh. At this size, receiving datagrams costs a small host about
+    /// as much processor as serving its callers.
     static constexpr int mesh_limit = 48;
-    /// A fleet that shrinks goes back to direct digests at this size, so that it doesn't change to and fro.
-    static constexpr int mesh_again = 32;
-    /// A relay forwards what it gathered in so much time at once: newer data costs more datagrams.
+    /// Size at which a shrinking fleet returns to a full mesh. Lower than `mesh_limit` as a hysteresis.
+    static constexpr int mesh_restore_limit = 32;
+    /// Interval of a relay's batches. A shorter one would give fresher data at the cost of more datagrams.
     static constexpr duration flush_interval = 8ms;
-    /// With more subscribers batches become rarer in proportion, so that a relay sends some 3,000 datagrams a
-    /// second at most.
+    /// Number of subscribers above which the interval grows in proportion, to limit a relay to about 3,000
+    /// datagrams per second.
     static constexpr int subscribers_at_full_rate = 24;
-    /// Urgent digests are forwarded within so much time.
+    /// Interval of batches that contain urgent digests.
     static constexpr duration urgent_flush_interval = 4ms;
-    /// A relay sends at least this often.
+    /// Maximum interval between two batches of a relay, even if empty.
     static constexpr duration keepalive_interval = 150ms;
-    /// A relay that sent nothing for so long is given up: three of its keepalives are missing.
-    static constexpr duration relay_silence = 500ms;
-    /// A relay that was given up isn't chosen again for so long.
-    static constexpr duration relay_pause = 3s;
-    /// A subscription ends so long after the last digest that asked for it: two idle digests are missing.
-    static constexpr duration subscription_term = 1s;
+    /// Time without a datagram after which a relay is considered failed: three missed keepalives.
+    static constexpr duration relay_timeout = 500ms;
+    /// Time for which a failed relay is not selected again.
+    static constexpr duration relay_exclusion_time = 3s;
+    /// Time after the last subscribing digest at which a subscription expires: two missed idle digests.
+    static constexpr duration subscription_timeout = 1s;
 
 private:
     struct subscriber
     {
         std::string address;
-        instant heard{};
+        instant last_received_at{};
     };
 
     [[nodiscard]] auto is_usable(const known_peer& peer, instant now) const -> bool;
     [[nodiscard]] auto best_relay(const peer_table& peers, instant now) const -> const peer_digest&;
     [[nodiscard]] auto choose_relay(const peer_table& peers, instant now) -> bool;
-    void gather(const peer_message& message, bool from_origin, instant now);
+    void enqueue(const peer_message& message, bool from_origin, instant now);
 
     peer_digest self_;
     bool is_large_ = false;
     bool sends_to_all_ = true;
-    bool is_best_ = false; // of its failure domain
+    bool is_domain_relay_ = false; // best relay of its failure domain
     std::optional<std::string> relay_;
-    instant relay_chosen_{};
-    instant relay_heard_{};                   // its relay; as the best one itself, another relay
-    std::map<std::string, instant> given_up_; // by address, until when
+    instant relay_selected_at_{};
+    instant relay_received_at_{};                    // from its relay; from any relay if it is one
+    std::map<std::string, instant> excluded_relays_; // by address, until this time
     std::map<std::string, subscriber> subscribers_;
-    relay_batch gathered_;
+    relay_batch pending_batch_;
     std::optional<instant> flush_at_;
     instant flushed_at_{};
 };
--- a/include/dragonflymill/direct/gossip_schedule.h
+++ b/include/dragonflymill/direct/gossip_schedule.h
@@ -8,58 +8,61 @@
 
 namespace dragonflymill::direct {
 
-/// What the next digest of a gateway would state.
+/// State that the next digest of a gateway would report.
 struct digest_state
 {
-    std::uint64_t load_changes = 0; ///< Rises whenever its own work in hand changes.
-    std::uint64_t revision = 0;     ///< Newest change of the published records that it knows.
-    int gateways = 1;               ///< Gateways of the fleet, itself included.
-    bool relayed = false;           ///< A relay forwards its digests.
+    std::uint64_t load_changes = 0; ///< Increases with each change of the gateway's own work in flight.
+    std::uint64_t revision = 0;     ///< Newest revision of the published records that it knows.
+    int gateways = 1;               ///< Gateways of the fleet, including itself.
+    bool relayed = false;           ///< Whether a relay forwards its digests.
 
     friend auto operator==(const digest_state&, const digest_state&) -> bool = default;
 };
 
-/// A digest that is to be sent now.
+/// A digest that is due.
 struct due_digest
 {
-    bool whole = false;              ///< All work in hand and some peers; else what changed.
-    std::uint64_t changes_since = 0; ///< Not whole: the load changes that it begins after.
+    bool whole = false;              ///< Lists all work in flight and some peers; otherwise only changes.
+    std::uint64_t changes_since = 0; ///< Otherwise: lists the load changes after this one.
 
     friend auto operator==(const due_digest&, const due_digest&) -> bool = default;
 };
 
-/// Decides when a gateway sends the others its state, and how much of it.
+/// Decides when a gateway sends its state to the others, and whether a full digest or only the changes.
 ///
-/// Too rarely, and other gateways choose the engines that this one has just filled; too often, and a small
-/// host does nothing but listen.
+/// If digests are too rare, other gateways choose engines that this one has just filled; if they are too
+/// frequent, receiving them takes up the processor of a small host.
 class gossip_schedule
 {
 public:
-    /// The digest to be sent now; nothing if none is due. `at_once`: there is news that can't wait.
+    /// Returns the digest to be sent now; nothing if none is due. `at_once` sends one regardless of the
+    /// interval.
     [[nodiscard]] auto next(const digest_state& state, bool at_once, instant now)
         -> std::optional<due_digest>;
 
-    /// Digests about new work go out at most this often: within it another gateway may choose the same
+    /// Minimum interval between digests that report changes. Within it another gateway may choose the same
     /// engine.
     static constexpr duration gossip_interval = 30ms;
-    /// The same through a relay, which costs one datagram each and holds them back for some milliseconds
-    /// more.
+    /// Minimum interval when digests go through a relay. It is shorter because a digest then costs a single
+    /// datagram and the relay delays it by a few milliseconds.
     static constexpr duration relayed_gossip_interval = 10ms;
-    /// Beyond this many gateways digests become rarer in proportion, so that listening stays below a
-    /// hundredth of a small host's processor.
+    /// Number of gateways above which intervals grow in proportion, to keep receiving digests below one
+    /// percent of a small host's processor.
     static constexpr int gateways_at_full_rate = 64;
-    /// A gateway without changes sends a digest this often.
+    /// Interval of a gateway without changes.
     static constexpr duration idle_gossip_interval = 400ms;
-    /// Only this often a digest lists all work in hand and some peers; the others list what changed.
+    /// Interval of full digests, which list all work in flight and some peers. Digests in between list
+    /// changes.
     static constexpr duration full_digest_interval = 1s;
-    /// A change is sent so many times, so that a lost datagram or two do no harm until the next whole digest.
-    static constexpr std::size_t repeats_of_change = 3;
+    /// Number of digests in which each change is sent, to tolerate two lost datagrams before the next full
+    /// digest.
+    static constexpr std::size_t change_transmissions = 3;
 
 private:
     digest_state sent_;
     instant sent_at_{};
     instant full_sent_at_{};
-    std::array<std::uint64_t, repeats_of_change> changes_before_{}; // at the last digests, the oldest first
+    std::array<std::uint64_t, change_transmissions> previous_load_changes_{}; // per digest, oldest first
 };
 
 } // namespace dragonflymill::direct
--- a/include/dragonflymill/direct/peer_message.h
+++ b/include/dragonflymill/direct/peer_message.h
@@ -9,30 +9,30 @@
 
 namespace dragonflymill::direct {
 
-/// A gateway's digest with its work in hand.
+/// A gateway's digest and load report.
 struct peer_message
 {
-    peer_digest digest; ///< Who it is and what it knows.
-    load_report report; ///< Its work in hand.
+    peer_digest digest; ///< Identity and state of the gateway.
+    load_report report; ///< Its work in flight.
 
     friend auto operator==(const peer_message&, const peer_message&) -> bool = default;
 };
 
-/// One datagram between gateways: the sender's own digest, or digests that a relay forwards.
+/// A datagram between gateways: the sender's own digest, or digests that a relay forwards.
 struct peer_datagram
 {
-    std::string relay;       ///< Address of the relay that forwards them; empty: the origin sent it.
-    bool for_relays = false; ///< The receiver forwards them to its own subscribers.
+    std::string relay;       ///< Address of the forwarding relay; empty if the origin sent the datagram.
+    bool for_relays = false; ///< Whether the receiver forwards the digests to its own subscribers.
     std::vector<peer_message> messages; ///< At least one.
 
     friend auto operator==(const peer_datagram&, const peer_datagram&) -> bool = default;
 };
 
-/// Digests that one datagram carries at most: some 200 bytes each, so that it stays far below the largest
-/// datagram even if each of them lists all its sender's work.
-inline constexpr std::size_t max_digests = 24;
+/// Maximum number of digests in a datagram. At about 200 bytes each, the datagram stays far below the maximum
+/// size even if each digest lists all work of its sender.
+inline constexpr std::size_t max_digests_per_datagram = 24;
 
-/// Parts digests that a relay forwards into datagrams.
+/// Splits the digests that a relay forwards into datagrams.
 [[nodiscard]] auto split_into_datagrams(const std::vector<peer_message>& messages, const std::string& relay,
                                         bool for_relays) -> std::vector<peer_datagram>;
 
--- a/include/dragonflymill/direct/retry_window.h
+++ b/include/dragonflymill/direct/retry_window.h
@@ -8,42 +8,44 @@
 
 namespace dragonflymill::direct {
 
-/// Bounds of second attempts at one service, over all gateways together.
+/// Limits of the retry budget of one service, for all gateways together.
 struct retry_budget_limits
 {
-    double share = 0.2;    ///< Second attempts for each first one.
-    double slack = 0.0;    ///< Second attempts allowed besides, in each window.
-    duration window = 10s; ///< Any span of this length counts.
+    double share = 0.2;    ///< Retries allowed for each first attempt.
+    double slack = 0.0;    ///< Additional retries allowed in each window.
+    duration window = 10s; ///< The limits hold for any time span of this length.
 
     friend auto operator==(const retry_budget_limits&, const retry_budget_limits&) -> bool = default;
 };
 
-/// Second attempts that this gateway may make at one service. Each gateway keeps to the share of its own
-/// requests and to its part of the slack, so the sum over all gateways holds without a digest between them.
+/// Retry budget of this gateway for one service, over a sliding window. Each gateway stays within the share
+/// of its own requests and its part of the slack, so the limit on the sum over all gateways holds without
+/// exchanging state.
 ///
-/// Guards against a retry storm: a fault that fails every call must not multiply the load on what is left.
+/// Guards against retry storms: a fault that fails every call must not multiply the load on the remaining
+/// upstreams.
 class retry_window
 {
 public:
-    /// A request's first attempt is being sent.
+    /// Counts a request whose first attempt is being sent.
     void count_first_attempt(instant now);
-    /// Takes one second attempt; false if none is left. `gateways` share the slack.
+    /// Takes one retry out of the budget; returns false if none is left. `gateways` gateways share the slack.
     [[nodiscard]] auto take(instant now, const retry_budget_limits& bounds, int gateways) -> bool;
-    /// Whether one is left, without taking it.
+    /// Returns whether a retry is left, without taking it.
     [[nodiscard]] auto available(instant now, const retry_budget_limits& bounds, int gateways) -> bool;
 
-    /// Part of the allowance that is used: others may count a request in the next window, and a gateway that
-    /// just started is not yet among those that share.
+    /// Fraction of the allowance that is used. Other processes may count a request in the next window, and a
+    /// gateway that has just started is not yet included in `gateways`.
     static constexpr double safety = 0.7;
-    /// Slices that a window is counted in.
+    /// Number of slices that a window is divided into.
     static constexpr std::size_t slices = 20;
 
 private:
     struct slice
     {
         std::int64_t number = -1;
-        std::uint32_t first = 0;
-        std::uint32_t again = 0;
+        std::uint32_t first_attempts = 0;
+        std::uint32_t retries = 0;
     };
 
     [[nodiscard]] auto current(instant now, duration window) -> slice&;
--- a/include/dragonflymill/direct/source_outage.h
+++ b/include/dragonflymill/direct/source_outage.h
@@ -6,38 +6,40 @@
 
 namespace dragonflymill::direct {
 
-/// Tells an outage of the source of records from a loss of this process's own way to it.
+/// Distinguishes an outage of the record source from a loss of this process's own connection to it.
 ///
-/// Upstreams' entries lapse while the source is away from everybody, and are back soon after its return:
-/// removals seen right after it may be those of living upstreams. After a reset connection, or where the
-/// source refuses this host alone, removals are real: held back, they would let work reach upstreams that are
-/// leaving.
+/// During an outage, entries of upstreams expire because they cannot be renewed, and they reappear soon after
+/// it: removals seen right after an outage may be those of running upstreams. After a connection reset, or
+/// where the source refuses only this host, removals are real; delaying them would send work to draining
+/// upstreams.
 class source_outage
 {
 public:
-    /// The source can't be read.
+    /// Records that the source cannot be read.
     void lost(instant now);
-    /// It can be read again.
+    /// Records that the source can be read again.
     void regained(instant now);
-    /// Another gateway says that it reads the source.
+    /// Records that another gateway reports reading the source.
     void peer_reads_source(instant now);
-    /// Whether a removal that is seen now may be a lapse of a living upstream.
+    /// Returns whether a removal seen now may be the expired entry of a running upstream.
     [[nodiscard]] auto removals_unreliable(instant now) const -> bool;
-    /// Whether the source can't be read now.
+    /// Returns whether the source cannot be read now.
     [[nodiscard]] auto is_lost() const -> bool { return lost_at_.has_value(); }
 
-    /// A shorter loss lets no entry lapse: one is removed after several heartbeats of over half a second.
-    static constexpr duration shortest = 2s;
-    /// Removals are in doubt for so long after the return; the first reading after it tells of all lapses.
-    static constexpr duration shadow = 1s;
-    /// Others go on saying that they read the source for so long after its loss.
-    static constexpr duration stale_word = 3200ms;
+    /// Minimum outage in which entries can expire: an entry is removed after several missed heartbeats of
+    /// more than half a second each.
+    static constexpr duration min_outage = 2s;
+    /// Time after an outage in which removals are unreliable; the first read after it returns all expired
+    /// entries.
+    static constexpr duration recovery_window = 1s;
+    /// Time after the loss of the source in which peers may still report reading it.
+    static constexpr duration peer_report_staleness = 3200ms;
 
 private:
     std::optional<instant> lost_at_;
     std::optional<instant> regained_at_;
-    duration length_{};
-    bool others_read_ = false;
+    duration outage_length_{};
+    bool peer_read_source_ = false;
 };
 
 } // namespace dragonflymill::direct
--- a/src/direct/attempt_rules.cpp
+++ b/src/direct/attempt_rules.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-auto may_try_again(attempt_end end, const request_progress& progress) -> bool
+auto may_retry(attempt_end end, const request_progress& progress) -> bool
 {
     if (progress.time_left < min_attempt_time) {
         return false;
@@ -35,7 +35,7 @@
 
 auto decide_next_step(attempt_end end, const request_progress& progress) -> next_step
 {
-    if (may_try_again(end, progress)) {
+    if (may_retry(end, progress)) {
         return next_step::try_again;
     }
     if (progress.answer_begun) {
--- a/src/direct/call_attempts.cpp
+++ b/src/direct/call_attempts.cpp
@@ -4,22 +4,22 @@
 
 namespace dragonflymill::direct {
 
-void call_attempts::ended(attempt_end end, const attempt_place& place, instant now)
+void call_attempts::ended(attempt_end end, const attempted_upstream& attempted, instant now)
 {
-    tried_.push_back(place.upstream);
+    tried_.push_back(attempted.upstream);
     arrivals_ += end == attempt_end::not_sent ? 0 : 1;
     run_ += may_have_run(end) ? 1 : 0;
     rejections_ += end == attempt_end::rejected || end == attempt_end::misdirected ? 1 : 0;
     if (is_unreachable(end)) {
-        note_unreachable(place, now);
+        record_unreachable(attempted, now);
     }
 }
 
-void call_attempts::note_unreachable(const attempt_place& place, instant now)
+void call_attempts::record_unreachable(const attempted_upstream& attempted, instant now)
 {
-    const auto same = [&](const unreachable_upstream& other) { return other.place == place; };
+    const auto same = [&](const unreachable_upstream& other) { return other.attempted == attempted; };
     std::erase_if(unreachable_, same);
-    unreachable_.push_back({place, now});
+    unreachable_.push_back({attempted, now});
 }
 
 auto call_attempts::tried(std::string_view upstream) const -> bool
@@ -30,15 +30,16 @@
 auto call_attempts::avoids(std::string_view failure_domain, instant now) const -> bool
 {
     const auto found = std::count_if(unreachable_.begin(), unreachable_.end(), [&](const auto& upstream) {
-        return upstream.place.failure_domain == failure_domain && now < upstream.seen_at + domain_avoidance;
+        return upstream.attempted.failure_domain == failure_domain &&
+               now < upstream.seen_at + domain_avoidance;
     });
-    return found >= unreachable_to_avoid;
+    return found >= domain_avoidance_threshold;
 }
 
 auto call_attempts::avoids_any(instant now) const -> bool
 {
     return std::any_of(unreachable_.begin(), unreachable_.end(),
-                       [&](const auto& upstream) { return avoids(upstream.place.failure_domain, now); });
+                       [&](const auto& upstream) { return avoids(upstream.attempted.failure_domain, now); });
 }
 
 } // namespace dragonflymill::direct
--- a/src/direct/event_relay.cpp
+++ b/src/direct/event_relay.cpp
@@ -6,25 +6,25 @@
 
 namespace {
 
-/// End of the first event in `bytes`, behind its blank line; npos if it isn't whole.
+/// Returns the offset behind the blank line that ends the first event in `bytes`; npos if it is incomplete.
 auto end_of_event(std::string_view bytes) -> std::size_t
 {
     std::size_t line = 0;
     while (line < bytes.size()) {
-        const std::size_t feed = bytes.find('\n', line);
-        if (feed == std::string_view::npos) {
+        const std::size_t line_end = bytes.find('\n', line);
+        if (line_end == std::string_view::npos) {
             return std::string_view::npos;
         }
-        const bool blank = feed == line || (feed == line + 1 && bytes[line] == '\r');
+        const bool blank = line_end == line || (line_end == line + 1 && bytes[line] == '\r');
         if (blank) {
-            return feed + 1;
+            return line_end + 1;
         }
-        line = feed + 1;
+        line = line_end + 1;
     }
     return std::string_view::npos;
 }
 
-auto number_of(std::string_view id) -> std::optional<std::uint64_t>
+auto parse_id(std::string_view id) -> std::optional<std::uint64_t>
 {
     std::uint64_t number = 0;
     const auto [end, failed] = std::from_chars(id.data(), id.data() + id.size(), number);
@@ -62,8 +62,8 @@
 auto event_relay::take(std::string_view bytes) -> relayed_events
 {
     relayed_events relayed;
-    rest_.append(bytes);
-    std::string_view left = rest_;
+    partial_event_.append(bytes);
+    std::string_view left = partial_event_;
     for (std::size_t end = end_of_event(left); end != std::string_view::npos; end = end_of_event(left)) {
         const std::string_view event = left.substr(0, end);
         const auto id = event_id(event);
@@ -79,15 +79,15 @@
         }
         left.remove_prefix(end);
     }
-    rest_.erase(0, rest_.size() - left.size());
-    relayed.broken = rest_.size() > max_event_bytes;
+    partial_event_.erase(0, partial_event_.size() - left.size());
+    relayed.broken = partial_event_.size() > max_event_bytes;
     return relayed;
 }
 
 auto event_relay::is_next(std::string_view id) const -> bool
 {
-    const auto number = number_of(id);
-    const auto last = number_of(last_id_);
+    const auto number = parse_id(id);
+    const auto last = parse_id(last_id_);
     if (!number || !last) {
         return id != last_id_ || last_id_.empty();
     }
--- a/src/direct/fleet_config.cpp
+++ b/src/direct/fleet_config.cpp
@@ -9,11 +9,11 @@
 
 auto route_rule::service_for(std::string_view request) const -> const std::string&
 {
-    std::uint64_t whole = 0;
+    std::uint64_t total = 0;
     for (const weighted_service& share : services) {
-        whole += share.weight;
+        total += share.weight;
     }
-    std::uint64_t at = whole == 0 ? 0 : stable_hash(request) % whole;
+    std::uint64_t at = total == 0 ? 0 : stable_hash(request) % total;
     for (const weighted_service& share : services) {
         if (at < share.weight) {
             return share.service;
@@ -23,8 +23,8 @@
     return services.front().service;
 }
 
-fleet_config::fleet_config(parts whole)
-    : parts_(std::move(whole))
+fleet_config::fleet_config(parts contents)
+    : parts_(std::move(contents))
 {
     for (std::size_t i = 0; i < parts_.routes.size(); ++i) {
         const route_rule& route = parts_.routes[i];
@@ -33,7 +33,7 @@
             continue;
         }
         for (const weighted_service& share : route.services) {
-            const auto [found, added] = tightest_pause_.emplace(share.service, route.tbt_target);
+            const auto [found, added] = tightest_tbt_target_.emplace(share.service, route.tbt_target);
             found->second = std::min(found->second, route.tbt_target);
         }
     }
@@ -80,8 +80,8 @@
 
 auto fleet_config::tightest_tbt_target(const std::string& service) const -> std::optional<duration>
 {
-    const auto found = tightest_pause_.find(service);
-    return found == tightest_pause_.end() ? std::nullopt : std::optional(found->second);
+    const auto found = tightest_tbt_target_.find(service);
+    return found == tightest_tbt_target_.end() ? std::nullopt : std::optional(found->second);
 }
 
 } // namespace dragonflymill::direct
--- a/src/direct/fleet_records.cpp
+++ b/src/direct/fleet_records.cpp
@@ -8,53 +8,53 @@
 auto fleet_records::apply(const fleet_record& change) -> bool
 {
     const auto found = records_.find(change.key);
-    // All changes up to `revision_` are known: a record that isn't there and claims to be older was removed.
+    // All changes up to `revision_` are known: an unknown record with an older revision was removed.
     const std::uint64_t newest = found == records_.end() ? revision_ : found->second.revision;
     if (change.revision <= newest) {
         return false;
     }
     fleet_record& known = records_[change.key];
     if (known.removed) {
-        removed_.erase({known.revision, change.key});
+        tombstones_.erase({known.revision, change.key});
     }
     known = change;
     if (change.removed) {
         known.value.clear();
-        removed_.insert({change.revision, change.key});
-        forget_oldest_removed();
+        tombstones_.insert({change.revision, change.key});
+        drop_oldest_tombstones();
     }
     return true;
 }
 
-auto fleet_records::apply(const records_update& extract) -> std::vector<fleet_record>
+auto fleet_records::apply(const records_update& update) -> std::vector<fleet_record>
 {
-    std::vector<fleet_record> news;
+    std::vector<fleet_record> applied;
     std::set<std::string> present;
-    for (const fleet_record& record : extract.records) {
+    for (const fleet_record& record : update.records) {
         present.insert(record.key);
         if (apply(record)) {
-            news.push_back(record);
+            applied.push_back(record);
         }
     }
-    if (extract.whole) {
-        // A listing doesn't tell of records that were removed before it and were never known here.
-        forgotten_to_ = std::max(forgotten_to_, extract.as_of);
+    if (update.whole) {
+        // A complete list does not show which records were removed before it that were never known here.
+        dropped_through_ = std::max(dropped_through_, update.as_of);
         std::vector<std::string> missing;
         for (const auto& [key, record] : records_) {
-            if (!record.removed && record.revision < extract.as_of && !present.contains(key)) {
+            if (!record.removed && record.revision < update.as_of && !present.contains(key)) {
                 missing.push_back(key);
             }
         }
         for (const std::string& key : missing) {
-            // The revision of the removal isn't known, only that it was not later than the listing.
-            const fleet_record removal{key, "", extract.as_of, true};
+            // The exact revision of the removal is unknown; it is at most that of the list.
+            const fleet_record removal{key, "", update.as_of, true};
             if (apply(removal)) {
-                news.push_back(removal);
+                applied.push_back(removal);
             }
         }
     }
-    advance(extract.as_of);
-    return news;
+    advance(update.as_of);
+    return applied;
 }
 
 void fleet_records::advance(std::uint64_t revision)
@@ -64,26 +64,26 @@
 
 auto fleet_records::since(std::uint64_t after) const -> records_update
 {
-    records_update extract;
-    extract.as_of = revision_;
-    // Removals up to `forgotten_to_` aren't all known here, so that only the whole list tells of them.
-    extract.whole = after == 0 || after < forgotten_to_;
+    records_update update;
+    update.as_of = revision_;
+    // Removals up to `dropped_through_` are not all known here; only the complete list conveys them.
+    update.whole = after == 0 || after < dropped_through_;
     for (const auto& [key, record] : records_) {
-        const bool wanted = extract.whole ? !record.removed : record.revision > after;
+        const bool wanted = update.whole ? !record.removed : record.revision > after;
         if (wanted) {
-            extract.records.push_back(record);
+            update.records.push_back(record);
         }
     }
-    return extract;
+    return update;
 }
 
-void fleet_records::forget_oldest_removed()
+void fleet_records::drop_oldest_tombstones()
 {
-    while (removed_.size() > max_removed) {
-        const auto oldest = removed_.begin();
-        forgotten_to_ = std::max(forgotten_to_, oldest->first);
+    while (tombstones_.size() > max_tombstones) {
+        const auto oldest = tombstones_.begin();
+        dropped_through_ = std::max(dropped_through_, oldest->first);
         records_.erase(oldest->second);
-        removed_.erase(oldest);
+        tombstones_.erase(oldest);
     }
 }
 
--- a/src/direct/gossip_schedule.cpp
+++ b/src/direct/gossip_schedule.cpp
@@ -6,20 +6,21 @@
 
 auto gossip_schedule::next(const digest_state& state, bool at_once, instant now) -> std::optional<due_digest>
 {
-    const int spread = std::max(1, state.gateways / gateways_at_full_rate);
+    const int slowdown = std::max(1, state.gateways / gateways_at_full_rate);
     const bool changed = state.load_changes != sent_.load_changes || state.revision != sent_.revision;
     const duration since = now - sent_at_;
     const duration interval = state.relayed ? relayed_gossip_interval : gossip_interval;
-    const bool due = since >= (changed ? interval * spread : idle_gossip_interval);
+    const bool due = since >= (changed ? interval * slowdown : idle_gossip_interval);
     if (!at_once && !due) {
         return std::nullopt;
     }
-    const due_digest digest{now - full_sent_at_ >= full_digest_interval, changes_before_.front()};
+    const due_digest digest{now - full_sent_at_ >= full_digest_interval, previous_load_changes_.front()};
     if (digest.whole) {
         full_sent_at_ = now;
     }
-    std::rotate(changes_before_.begin(), changes_before_.begin() + 1, changes_before_.end());
-    changes_before_.back() = state.load_changes;
+    std::rotate(previous_load_changes_.begin(), previous_load_changes_.begin() + 1,
+                previous_load_changes_.end());
+    previous_load_changes_.back() = state.load_changes;
     sent_ = state;
     sent_at_ = now;
     return digest;
--- a/src/direct/peer_table.cpp
+++ b/src/direct/peer_table.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Rank of a peer whose turn comes in proportion to its weight; the lowest is next.
+/// Returns a rank for weighted random selection: the lowest rank is selected, in proportion to its weight.
 auto weighted_rank(std::uint64_t draw, int weight) -> double
 {
     constexpr auto most = static_cast<double>(std::numeric_limits<std::uint64_t>::max());
@@ -45,13 +45,13 @@
     }
     const bool is_new = known == peers_.end();
     if (is_new) {
-        // A later start at the same address has replaced this one.
+        // A restarted gateway replaces the old process at the same address.
         std::erase_if(peers_, [&](const auto& peer) { return peer.second.digest.address == digest.address; });
     }
     peers_[digest.gateway] = known_peer{digest, now};
     for (const std::string& address : digest.peers) {
-        if (address != address_ && hearsay_.size() < max_peers) {
-            hearsay_.emplace(address, now);
+        if (address != address_ && learned_addresses_.size() < max_peers) {
+            learned_addresses_.emplace(address, now);
         }
     }
     return is_new;
@@ -61,13 +61,14 @@
 {
     std::vector<std::string> gone;
     std::erase_if(peers_, [&](const auto& peer) {
-        const bool silent = now - peer.second.heard > silence_limit;
+        const bool silent = now - peer.second.last_received_at > peer_timeout;
         if (silent) {
             gone.push_back(peer.first);
         }
         return silent;
     });
-    std::erase_if(hearsay_, [&](const auto& heard) { return now - heard.second > hearsay_limit; });
+    std::erase_if(learned_addresses_,
+                  [&](const auto& learned) { return now - learned.second > learned_address_timeout; });
     return gone;
 }
 
@@ -78,7 +79,7 @@
     for (const auto& [name, peer] : peers_) {
         all.insert(peer.digest.address);
     }
-    for (const auto& [address, since] : hearsay_) {
+    for (const auto& [address, since] : learned_addresses_) {
         all.insert(address);
     }
     all.insert(seeds_.begin(), seeds_.end());
@@ -89,7 +90,7 @@
 auto peer_table::unknown_addresses() const -> std::vector<std::string>
 {
     std::set<std::string> found(seeds_.begin(), seeds_.end());
-    for (const auto& [address, since] : hearsay_) {
+    for (const auto& [address, since] : learned_addresses_) {
         found.insert(address);
     }
     found.erase(address_);
@@ -124,8 +125,8 @@
     const auto own = rank(self_, millicores_);
     int readers = 0;
     for (const auto& [name, peer] : peers_) {
-        const bool relied_on =
-            peer.digest.reads_source && !peer.digest.leaving && now - peer.heard <= reader_silence;
+        const bool relied_on = peer.digest.reads_source && !peer.digest.leaving &&
+                               now - peer.last_received_at <= source_reader_timeout;
         if (relied_on && rank(name, peer.digest.millicores) < own) {
             ++readers;
         }
--- a/src/direct/retry_window.cpp
+++ b/src/direct/retry_window.cpp
@@ -6,22 +6,22 @@
 
 void retry_window::count_first_attempt(instant now)
 {
-    ++current(now, window_).first;
+    ++current(now, window_).first_attempts;
 }
 
 auto retry_window::available(instant now, const retry_budget_limits& bounds, int gateways) -> bool
 {
     const std::int64_t number = current(now, bounds.window).number;
-    double first = 0;
-    double again = 0;
+    double first_attempts = 0;
+    double retries = 0;
     for (const slice& part : ring_) {
         if (part.number >= 0 && number - part.number <= static_cast<std::int64_t>(slices)) {
-            first += part.first;
-            again += part.again;
+            first_attempts += part.first_attempts;
+            retries += part.retries;
         }
     }
-    const double allowance = bounds.share * first + bounds.slack / std::max(gateways, 1);
-    return again + 1 <= safety * allowance;
+    const double allowance = bounds.share * first_attempts + bounds.slack / std::max(gateways, 1);
+    return retries + 1 <= safety * allowance;
 }
 
 auto retry_window::take(instant now, const retry_budget_limits& bounds, int gateways) -> bool
@@ -29,7 +29,7 @@
     if (!available(now, bounds, gateways)) {
         return false;
     }
-    ++current(now, bounds.window).again;
+    ++current(now, bounds.window).retries;
     return true;
 }
 
--- a/src/direct/source_listing.cpp
+++ b/src/direct/source_listing.cpp
@@ -10,22 +10,22 @@
 {
     listed_ = {};
     cursor_.clear();
-    begun_ = false;
+    started_ = false;
 }
 
 auto source_listing::take(listing_page page) -> std::optional<records_update>
 {
-    if (!begun_) {
-        // Pages aren't a snapshot: what changed while they were read comes after this revision.
-        begun_ = true;
+    if (!started_) {
+        // Pages are not a snapshot: changes made while they are read arrive as changes after this revision.
+        started_ = true;
         listed_.as_of = page.revision;
         listed_.whole = true;
     }
-    const bool goes_on = page.more && !page.records.empty();
-    cursor_ = goes_on ? page.records.back().key : "";
+    const bool has_more = page.more && !page.records.empty();
+    cursor_ = has_more ? page.records.back().key : "";
     std::move(page.records.begin(), page.records.end(), std::back_inserter(listed_.records));
-    call_limit_ = first_limit;
-    if (goes_on) {
+    call_timeout_ = initial_call_timeout;
+    if (has_more) {
         return std::nullopt;
     }
     records_update whole = std::move(listed_);
@@ -35,7 +35,7 @@
 
 void source_listing::failed()
 {
-    call_limit_ = std::min(2 * call_limit_, longest_limit);
+    call_timeout_ = std::min(2 * call_timeout_, max_call_timeout);
 }
 
 } // namespace dragonflymill::direct
--- a/src/direct/upstream_list.cpp
+++ b/src/direct/upstream_list.cpp
@@ -6,24 +6,24 @@
 
 namespace dragonflymill::direct {
 
-void upstream_list::take(const std::string& key, const decoded_record& fact, instant now)
+void upstream_list::take(const std::string& key, const decoded_record& record, instant now)
 {
-    if (const auto* config = std::get_if<std::shared_ptr<const fleet_config>>(&fact)) {
+    if (const auto* config = std::get_if<std::shared_ptr<const fleet_config>>(&record)) {
         if (config_ == nullptr || (*config)->version() > config_->version()) {
             config_ = *config;
         }
         return;
     }
-    if (const auto* entry = std::get_if<upstream_entry>(&fact)) {
+    if (const auto* entry = std::get_if<upstream_entry>(&record)) {
         take_entry(key, *entry, now);
         return;
     }
-    if (const auto* out = std::get_if<drained_domain>(&fact)) {
-        domain_by_key_[key] = out->failure_domain;
-        domains_out_.insert(out->failure_domain);
+    if (const auto* drained = std::get_if<drained_domain>(&record)) {
+        domain_by_key_[key] = drained->failure_domain;
+        drained_domains_.insert(drained->failure_domain);
         return;
     }
-    // An entry that can't be read names no upstream to use.
+    // An entry that cannot be decoded names no usable upstream.
     remove(key, false, now);
 }
 
@@ -47,9 +47,9 @@
 void upstream_list::remove(const std::string& key, bool after_outage, instant now)
 {
     if (const auto domain = domain_by_key_.find(key); domain != domain_by_key_.end()) {
-        domains_out_.erase(domain->second);
+        drained_domains_.erase(domain->second);
         for (auto& [id, state] : upstreams_) {
-            // While a failure domain is out its upstreams may have been restarted or gone cold unseen.
+            // While a failure domain is drained, its upstreams may have restarted or become cold unnoticed.
             if (state.entry.failure_domain == domain->second) {
                 state.cold_until = std::max(state.cold_until, now + cold_time(state.entry.service));
             }
@@ -73,7 +73,7 @@
 {
     for (auto it = id_by_key_.begin(); it != id_by_key_.end();) {
         const auto& removed_at = upstreams_[it->second].removed_at;
-        if (removed_at && now - *removed_at >= hold_) {
+        if (removed_at && now - *removed_at >= removal_delay_) {
             upstreams_.erase(it->second);
             it = id_by_key_.erase(it);
             continue;
@@ -84,7 +84,7 @@
 
 auto upstream_list::accepts_work(const upstream_state& upstream) const -> bool
 {
-    return !upstream.entry.leaving && !domains_out_.contains(upstream.entry.failure_domain);
+    return !upstream.entry.leaving && !drained_domains_.contains(upstream.entry.failure_domain);
 }
 
 auto upstream_list::cold_time(const std::string& service) const -> duration
--- a/tests/direct/attempt_rules_test.cpp
+++ b/tests/direct/attempt_rules_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Calls `check` for every end and every combination of what can be known.
+/// Calls `check` for every end of an attempt and every combination of progress.
 void for_each_case(const std::function<void(attempt_end, const request_progress&)>& check)
 {
     for (const auto end :
@@ -33,22 +33,21 @@
 
 } // namespace
 
-// A household is billed twice: a booking was sent to a second upstream after the first one had fallen silent,
-// and both ran it. Whatever else is known, what can't be repeated is sent again only if it can't have run.
-Test(attempt_rules, what_may_have_run_is_not_sent_again_unless_it_may_be_repeated)
+// Guards against running a call twice: the first upstream stops responding, the call is sent to a second one,
+// and both run it. A call that is not repeatable is retried only if it cannot have run.
+Test(attempt_rules, retries_a_non_repeatable_call_only_if_it_cannot_have_run)
 {
     for_each_case([](attempt_end end, const request_progress& state) {
         if (!state.repeatable && state.may_have_run) {
             const bool again = decide_next_step(end, state) == next_step::try_again;
             cr_assert(!again || end == attempt_end::not_sent,
-                      "only an attempt that left no byte leads to another");
+                      "only an attempt that sent no byte is followed by another");
         }
     });
 }
 
-// A caller is told that its booking was not run and makes it again; it had run. "Not run" is said only when
-// no attempt can have run.
-Test(attempt_rules, not_run_is_said_only_when_it_is_certain)
+// Guards against a false "not run": the caller then submits the call again although it has run.
+Test(attempt_rules, reports_not_run_only_if_no_attempt_can_have_run)
 {
     for_each_case([](attempt_end end, const request_progress& state) {
         if (decide_next_step(end, state) == next_step::refuse_not_run) {
@@ -58,8 +57,9 @@
     });
 }
 
-// A caller takes half an answer for the whole: after its head has been passed on, no other answer may follow.
-Test(attempt_rules, a_begun_answer_goes_on_or_is_cut)
+// Guards against a partial response that looks complete: once its head has been forwarded, the response is
+// continued or the connection is closed.
+Test(attempt_rules, continues_or_cuts_a_response_that_has_begun)
 {
     for_each_case([](attempt_end end, const request_progress& state) {
         if (state.answer_begun) {
@@ -69,7 +69,7 @@
     });
 }
 
-Test(attempt_rules, attempts_are_bounded)
+Test(attempt_rules, limits_attempts_by_count_time_and_budget)
 {
     for_each_case([](attempt_end end, const request_progress& state) {
         const bool spent = state.attempts_run >= state.max_attempts;
@@ -85,7 +85,7 @@
     });
 }
 
-Test(attempt_rules, a_rejected_booking_is_tried_elsewhere)
+Test(attempt_rules, retries_a_rejected_call_up_to_the_maximum_of_rejections)
 {
     request_progress state;
     state.budget_left = true;
--- a/tests/direct/call_attempts_test.cpp
+++ b/tests/direct/call_attempts_test.cpp
@@ -11,8 +11,8 @@
 
 } // namespace
 
-// One engine that crashed takes a third of the fleet out of use for a call.
-Test(call_attempts, one_unreachable_upstream_does_not_condemn_its_domain)
+// Guards against a single crashed engine that excludes its whole failure domain for a call.
+Test(call_attempts, does_not_avoid_a_domain_for_one_unreachable_upstream)
 {
     call_attempts attempts;
     attempts.ended(attempt_end::reader_lost, {"u1", "a"}, start);
@@ -22,8 +22,8 @@
     cr_assert(!attempts.avoids_any(start));
 }
 
-// A failure domain goes away, and a call finds its engines gone one by one until it is refused.
-Test(call_attempts, two_unreachable_upstreams_condemn_their_domain_for_a_time)
+// Guards against a call that uses up its attempts on the engines of a failed domain one by one.
+Test(call_attempts, avoids_a_domain_with_two_unreachable_upstreams_for_a_time)
 {
     call_attempts attempts;
     attempts.ended(attempt_end::reader_lost, {"u1", "a"}, start);
@@ -33,8 +33,8 @@
     cr_assert(!attempts.avoids("a", start + call_attempts::domain_avoidance));
 }
 
-// Two answers that were broken off, or two engines without room, say nothing of the others of their domain.
-Test(call_attempts, what_answers_is_not_unreachable)
+// Broken responses and full engines are no evidence about other upstreams of their failure domain.
+Test(call_attempts, does_not_count_responding_upstreams_as_unreachable)
 {
     call_attempts attempts;
     attempts.ended(attempt_end::broken, {"u1", "a"}, start);
@@ -43,8 +43,9 @@
     cr_assert(!attempts.avoids_any(start));
 }
 
-// A document that may be served for ten seconds more is refused after four readers were found gone.
-Test(call_attempts, a_lost_reader_is_not_a_rejection)
+// Guards against refusing a call seconds before its deadline because four prefill engines were lost: a lost
+// prefill engine does not count towards the maximum of rejections.
+Test(call_attempts, does_not_count_a_lost_prefill_engine_as_a_rejection)
 {
     call_attempts attempts;
     attempts.ended(attempt_end::reader_lost, {"u1", "a"}, start);
@@ -55,7 +56,7 @@
     cr_assert(attempts.run() == 0);
 }
 
-Test(call_attempts, what_left_no_byte_is_not_an_arrival)
+Test(call_attempts, does_not_count_an_unsent_attempt_as_an_arrival)
 {
     call_attempts attempts;
     attempts.dispatched();
--- a/tests/direct/event_relay_test.cpp
+++ b/tests/direct/event_relay_test.cpp
@@ -23,8 +23,8 @@
 
 } // namespace
 
-// The network cuts a stream anywhere. Wherever it is cut, the same whole events come out.
-Test(event_relay, events_come_out_whole_wherever_they_are_cut)
+// The network may split a stream at any byte; the relay must output the same complete events.
+Test(event_relay, outputs_complete_events_for_any_split_of_the_stream)
 {
     const std::string stream = events(1, 4);
     for (std::size_t cut = 0; cut <= stream.size(); ++cut) {
@@ -38,9 +38,9 @@
     }
 }
 
-// An engine dies in the middle of an event and another one goes on. The caller must see each event once and
-// none made of two halves, wherever the first engine stopped.
-Test(event_relay, a_resumed_stream_has_no_hole_and_no_repeat)
+// Guards against gaps, duplicates and events merged from two engines: the first engine crashes at any byte of
+// the stream and another one resumes it.
+Test(event_relay, resumes_a_stream_without_gap_or_duplicate)
 {
     const std::string stream = events(1, 6);
     for (std::size_t death = 0; death <= stream.size(); ++death) {
@@ -48,13 +48,13 @@
         std::string out = relay.take(stream.substr(0, death)).bytes;
         const int last = relay.last_id().empty() ? 0 : std::stoi(relay.last_id());
         relay.begin_attempt();
-        // The second engine starts one event too early, as one that rounds down would.
+        // The second engine starts one event too early.
         out += relay.take(events(std::max(last, 1), 6)).bytes;
         cr_assert(out == stream, "died at %zu", death);
     }
 }
 
-Test(event_relay, a_part_of_an_event_is_never_passed_on)
+Test(event_relay, does_not_forward_an_incomplete_event)
 {
     event_relay relay;
     const auto relayed = relay.take(event(1) + "id: 2\ndata: half");
@@ -62,7 +62,7 @@
     cr_assert(relay.has_partial_event());
 }
 
-Test(event_relay, a_caller_that_comes_back_gets_what_follows)
+Test(event_relay, forwards_only_events_after_the_last_id_of_a_reconnecting_caller)
 {
     event_relay relay("3");
     const auto relayed = relay.take(events(2, 5));
@@ -70,14 +70,14 @@
     cr_assert(relayed.dropped == 2);
 }
 
-Test(event_relay, an_endless_event_is_a_fault)
+Test(event_relay, reports_an_oversized_event_as_broken)
 {
     event_relay relay;
     const auto relayed = relay.take("data: " + std::string(event_relay::max_event_bytes, 'x'));
     cr_assert(relayed.broken);
 }
 
-Test(event_relay, lines_that_end_with_carriage_returns_are_events_too)
+Test(event_relay, accepts_lines_that_end_with_a_carriage_return)
 {
     event_relay relay;
     const std::string stream = "id: 1\r\ndata: a\r\n\r\n";
--- a/tests/direct/fleet_config_test.cpp
+++ b/tests/direct/fleet_config_test.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-auto route(const char* name, const char* host, const char* prefix, duration pause = 0ms) -> route_rule
+auto route(const char* name, const char* host, const char* prefix, duration tbt_target = 0ms) -> route_rule
 {
     route_rule rule;
     rule.name = name;
     rule.host = host;
     rule.path_prefix = prefix;
-    rule.tbt_target = pause;
+    rule.tbt_target = tbt_target;
     rule.services = {{"engines", 1}};
     return rule;
 }
@@ -32,7 +32,7 @@
 
 } // namespace
 
-Test(fleet_config, the_longest_prefix_of_the_host_wins)
+Test(fleet_config, matches_the_longest_path_prefix_of_the_host)
 {
     const fleet_config whole = config();
     cr_assert(whole.match_route("a.example", "/x/y/z")->name == "deep");
@@ -41,7 +41,7 @@
     cr_assert(whole.match_route("b.example", "/x/y/z") == nullptr);
 }
 
-Test(fleet_config, a_key_belongs_to_its_account)
+Test(fleet_config, finds_accounts_by_key_and_services_by_name)
 {
     const fleet_config whole = config();
     cr_assert(whole.find_account("k2")->name == "acme");
@@ -50,13 +50,13 @@
     cr_assert(whole.find_service("other") == nullptr);
 }
 
-Test(fleet_config, the_tightest_pause_of_a_service_is_that_of_its_strictest_route)
+Test(fleet_config, the_tightest_tbt_target_of_a_service_is_that_of_its_strictest_route)
 {
     cr_assert(config().tightest_tbt_target("engines") == duration(200ms));
     cr_assert(!config().tightest_tbt_target("other"));
 }
 
-Test(fleet_config, a_stream_may_be_repeated_only_if_it_may_be_resumed)
+Test(fleet_config, a_stream_is_repeatable_only_if_it_is_resumable)
 {
     route_rule rule = route("r", "h", "/");
     rule.kind = call_kind::streaming;
@@ -67,9 +67,9 @@
     cr_assert(!rule.repeatable());
 }
 
-// Half of a route's calls go to a new service. A call that is tried again, at this gateway or another, must
-// meet the same service: the other may not know what the first has done.
-Test(fleet_config, a_request_goes_to_the_same_service_each_time_by_weight)
+// When a route is split between two services, a retry must go to the same service, at this gateway or
+// another: the other service does not know what the first has done.
+Test(fleet_config, selects_the_same_service_for_each_attempt_in_proportion_to_the_weights)
 {
     route_rule route;
     route.services = {{"old", 1}, {"new", 3}};
--- a/tests/direct/fleet_records_test.cpp
+++ b/tests/direct/fleet_records_test.cpp
@@ -22,9 +22,9 @@
 
 } // namespace
 
-// A caller's key was taken away, and this gateway serves it again: a peer that had not heard of the change
-// handed its older copy over after the newer one had come.
-Test(fleet_records, an_older_copy_never_replaces_a_newer_one)
+// Guards against restoring a revoked API key: a peer that has not received the change sends its older copy
+// after the newer one was applied.
+Test(fleet_records, ignores_a_copy_older_than_the_known_one)
 {
     fleet_records records;
     cr_assert(records.apply(written("config", 7)));
@@ -33,9 +33,9 @@
     cr_assert(records.all().at("config").value == "v7");
 }
 
-// The same changes reach two gateways over different sources, late, twice and in any order. Both must end
-// with the same records, or they would send the same caller to different services.
-Test(fleet_records, any_order_of_the_same_changes_ends_the_same)
+// Two gateways receive the same changes from different sources: late, twice and in any order. If their
+// records differed, they would send the same caller to different services.
+Test(fleet_records, converges_for_any_order_of_the_same_changes)
 {
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         random_source random(seed);
@@ -61,40 +61,40 @@
     }
 }
 
-// A gateway starts, lists the source, and then gets the answer of a peer that it had asked before and that
-// lags: an upstream which left in between is in the peer's copy and not in the listing. Taken for news, it
-// got calls for as long as the gateway ran.
-Test(fleet_records, an_older_copy_does_not_bring_back_what_a_listing_lacks)
+// Guards against sending calls to an upstream that has left: a starting gateway lists the source and then
+// receives the response of a lagging peer that still contains the upstream, which the listing lacks.
+Test(fleet_records, does_not_restore_a_record_missing_from_a_newer_listing)
 {
     fleet_records records;
     (void)records.apply(records_update{{written("a", 1)}, 9, true});
-    const auto news = records.apply(records_update{{written("a", 1), written("gone", 5)}, 6, true});
-    cr_assert(news.empty());
+    const auto changes = records.apply(records_update{{written("a", 1), written("gone", 5)}, 6, true});
+    cr_assert(changes.empty());
     cr_assert(!records.all().contains("gone"));
-    cr_assert(records.apply(written("new", 10)), "what is newer than the listing is news");
+    cr_assert(records.apply(written("new", 10)), "a record newer than the listing is applied");
 }
 
-// An upstream left while the history was lost. The new listing doesn't name it, and that is the only sign.
-Test(fleet_records, what_a_whole_listing_lacks_is_gone)
+// When the history of changes is lost, absence from the new listing is the only sign that an upstream left.
+Test(fleet_records, removes_records_missing_from_a_complete_listing)
 {
     fleet_records records;
     (void)records.apply(records_update{{written("a", 1), written("b", 2)}, 2, true});
-    const auto news = records.apply(records_update{{written("a", 1)}, 9, true});
-    cr_assert(news.size() == 1 && news.front().key == "b" && news.front().removed);
+    const auto changes = records.apply(records_update{{written("a", 1)}, 9, true});
+    cr_assert(changes.size() == 1 && changes.front().key == "b" && changes.front().removed);
     cr_assert(records.revision() == 9);
 }
 
-// An upstream registers while pages of a listing are read: it is newer than the listing and must stay.
-Test(fleet_records, what_is_newer_than_a_listing_stays)
+// An upstream that registers while the pages of a listing are read is newer than the listing and must be
+// kept.
+Test(fleet_records, keeps_records_newer_than_a_listing)
 {
     fleet_records records;
     (void)records.apply(written("late", 12));
-    const auto news = records.apply(records_update{{written("a", 1)}, 9, true});
-    cr_assert(news.size() == 1 && news.front().key == "a");
+    const auto changes = records.apply(records_update{{written("a", 1)}, 9, true});
+    cr_assert(changes.size() == 1 && changes.front().key == "a");
     cr_assert(!records.all().at("late").removed);
 }
 
-Test(fleet_records, a_peer_gets_what_it_lacks_removals_included)
+Test(fleet_records, sends_a_peer_its_missing_changes_including_removals)
 {
     fleet_records records;
     (void)records.apply(records_update{{written("a", 1), written("b", 2)}, 2, true});
@@ -106,29 +106,28 @@
     cr_assert(other.revision() == 4);
 }
 
-// A gateway starts and lists the source after an upstream has left; it never heard of that upstream. A peer
-// that missed the removal asks it for what changed: a difference would lack the removal and yet count as
-// complete, and the peer would send work to the upstream that left for as long as it ran.
-Test(fleet_records, a_process_that_has_listed_knows_no_removal_from_before)
+// Guards against a difference that lacks a removal: a gateway lists the source after an upstream has left and
+// never knew that upstream. A peer that missed the removal would send work to the upstream from then on.
+Test(fleet_records, sends_the_complete_list_for_changes_before_its_own_listing)
 {
     fleet_records behind;
     (void)behind.apply(records_update{{written("left", 5), written("stays", 6)}, 16, true});
     fleet_records fresh;
     (void)fresh.apply(records_update{{written("stays", 6), written("new", 19)}, 21, true});
-    const auto news = behind.apply(fresh.since(behind.revision()));
+    const auto changes = behind.apply(fresh.since(behind.revision()));
     cr_assert(behind.all().at("left").removed);
-    cr_assert(news.size() == 2);
+    cr_assert(changes.size() == 2);
     cr_assert(behind.revision() == 21);
 }
 
-// A gateway was cut off for so long that removals of that time are forgotten everywhere: a difference would
-// leave it with upstreams that are gone, so it gets the whole list.
-Test(fleet_records, a_peer_that_is_too_far_behind_gets_the_whole_list)
+// Guards against stale upstreams after a long partition: the tombstones of that time have been dropped, so a
+// difference would not remove them.
+Test(fleet_records, sends_the_complete_list_to_a_peer_that_is_too_far_behind)
 {
     fleet_records records;
     (void)records.apply(records_update{{written("stays", 1)}, 1, true});
     std::uint64_t revision = 1;
-    for (std::size_t i = 0; i <= fleet_records::max_removed; ++i) {
+    for (std::size_t i = 0; i <= fleet_records::max_tombstones; ++i) {
         (void)records.apply(removed("gone" + std::to_string(i), ++revision));
     }
     records.advance(revision);
--- a/tests/direct/gossip_relay_test.cpp
+++ b/tests/direct/gossip_relay_test.cpp
@@ -15,7 +15,7 @@
 constexpr instant start(100s);
 constexpr int domains = 5;
 
-/// Gateways that talk over a network without delay and loss; some may be unreachable or dead.
+/// Simulates gateways on a network without delay or loss; single links may be cut and gateways killed.
 class gossip_world
 {
 public:
@@ -36,19 +36,19 @@
         crossed_ = 0;
     }
 
-    /// Each gateway sends a digest every 100 ms, as with ten changes a second.
+    /// Each gateway sends a digest every 100 ms, which corresponds to ten changes per second.
     void run(instant from, instant until)
     {
         for (instant now = from; now < until; now += 10ms) {
             now_ = now;
-            const auto turn = static_cast<int>((now - from) / 10ms) % 10;
+            const auto slot = static_cast<int>((now - from) / 10ms) % 10;
             for (auto& [address, one] : gateways_) {
                 if (!one->alive) {
                     continue;
                 }
                 (void)one->peers.expire_peers(now);
                 const bool moved = one->relay.update(one->peers, now);
-                if (one->number % 10 == turn || moved || one->relay.keepalive_due(now)) {
+                if (one->number % 10 == slot || moved || one->relay.keepalive_due(now)) {
                     send_digest(*one);
                 }
                 flush(*one);
@@ -57,14 +57,14 @@
     }
 
     void kill(const std::string& address) { gateways_.at(address)->alive = false; }
-    /// Nothing of `from` reaches `to` any more.
+    /// Drops all datagrams sent by `from` to `to` from now on.
     void cut(const std::string& from, const std::string& to) { cut_.emplace_back(from, to); }
 
     [[nodiscard]] auto relay_of(const std::string& address) const -> std::optional<std::string>
     {
         return gateways_.at(address)->relay.relay();
     }
-    /// How long ago the oldest digest came that any living gateway has of another living one.
+    /// Maximum age of the last digest of one running gateway at another.
     [[nodiscard]] auto oldest_digest() const -> duration
     {
         duration oldest{};
@@ -74,7 +74,8 @@
                     continue;
                 }
                 const auto known = to->peers.peers().find(other);
-                const duration age = known == to->peers.peers().end() ? 1h : now_ - known->second.heard;
+                const duration age =
+                    known == to->peers.peers().end() ? 1h : now_ - known->second.last_received_at;
                 oldest = std::max(oldest, age);
             }
         }
@@ -186,8 +187,8 @@
 
 } // namespace
 
-// Guards against small fleets that wait for batches: a handful of gateways hear each other directly.
-Test(gossip_relay, gateways_of_a_small_fleet_send_to_each_other)
+// Guards against delaying the digests of a small fleet by batching: a few gateways form a full mesh.
+Test(gossip_relay, a_small_fleet_sends_digests_directly)
 {
     gossip_world world(12);
     world.run(start + 2s, start + 3s);
@@ -195,27 +196,28 @@
     cr_assert(world.oldest_digest() <= 100ms);
 }
 
-// Pattern: a hundred unequal gateways with ten changes a second each. Guards against hosts that do nothing
-// but listen: each would receive a thousand datagrams a second.
-Test(gossip_relay, gateways_of_a_large_fleet_know_all_and_receive_few_datagrams)
+// Pattern: a hundred unequal gateways with ten changes per second each. In a full mesh, each gateway would
+// receive a thousand datagrams per second, which small hosts cannot process.
+Test(gossip_relay, a_large_fleet_has_fresh_state_with_few_datagrams)
 {
     gossip_world world(103);
     world.run(start + 2s, start + 3s);
     cr_assert(world.oldest_digest() <= 200ms);
     cr_assert(world.most_received() < 500, "a relay receives from its subscribers and the other relays");
-    cr_assert(world.crossed_domains() < 5'000, "in a full mesh 82,000 datagrams cross domains a second");
+    cr_assert(world.crossed_domains() < 5'000,
+              "in a full mesh 82,000 datagrams per second cross failure domains");
 }
 
-// Guards against a small host that has to forward everything because of its name.
-Test(gossip_relay, the_gateway_with_most_processor_of_a_domain_relays)
+// Guards against selecting a small host as the relay by the hash of its name.
+Test(gossip_relay, selects_the_gateway_with_the_most_processor_of_a_domain)
 {
     gossip_world world(103);
     const auto relay = world.relay_of(gossip_world::address_of(100));
     cr_assert(relay && (*relay == gossip_world::address_of(0) || *relay == gossip_world::address_of(5)));
 }
 
-// Guards against gateways that stay blind after their relay was killed.
-Test(gossip_relay, subscribers_of_a_killed_relay_take_the_next)
+// Guards against gateways that receive no digests after their relay was killed.
+Test(gossip_relay, subscribers_of_a_killed_relay_select_another)
 {
     gossip_world world(103);
     const auto first = world.relay_of(gossip_world::address_of(100));
@@ -225,9 +227,9 @@
     cr_assert(world.oldest_digest() <= 300ms);
 }
 
-// Guards against a subscriber that keeps a relay whose way to it is cut, while the relay seems well to all
-// others.
-Test(gossip_relay, a_relay_that_cant_be_heard_is_given_up_by_that_subscriber_alone)
+// Guards against a subscriber that keeps a relay whose datagrams do not reach it, while the relay works for
+// all others.
+Test(gossip_relay, only_the_subscriber_that_receives_nothing_excludes_its_relay)
 {
     gossip_world world(103);
     const std::string far = gossip_world::address_of(100);
@@ -240,21 +242,22 @@
     cr_assert(world.oldest_digest() <= 1500ms);
 }
 
-// Guards against two groups that don't hear each other when half of a large fleet is killed at once.
-Test(gossip_relay, a_fleet_that_shrinks_knows_all_that_live)
+// Guards against two groups that receive nothing from each other: most of a large fleet is killed at once,
+// and the rest returns to a full mesh.
+Test(gossip_relay, a_shrinking_fleet_keeps_fresh_state_of_all_running_gateways)
 {
     gossip_world world(103);
     for (int i = 0; i < 75; ++i) {
         world.kill(gossip_world::address_of(i));
     }
     world.run(start + 2s, start + 8s);
-    cr_assert(!world.relay_of(gossip_world::address_of(100)), "28 gateways send to each other");
+    cr_assert(!world.relay_of(gossip_world::address_of(100)), "28 gateways form a full mesh");
     cr_assert(world.oldest_digest() <= 300ms);
 }
 
-// Pattern: a failure domain with a hundred gateways. Guards against a relay that does nothing but send:
-// batches become rarer as subscribers grow.
-Test(gossip_relay, a_relay_of_many_subscribers_sends_rarer_batches)
+// Pattern: a failure domain with a hundred gateways. Guards against a relay that is overloaded by sending:
+// the interval of its batches grows with the number of subscribers.
+Test(gossip_relay, sends_batches_less_often_to_many_subscribers)
 {
     peer_digest self;
     self.gateway = "relay";
--- a/tests/direct/gossip_schedule_test.cpp
+++ b/tests/direct/gossip_schedule_test.cpp
@@ -11,9 +11,9 @@
 
 } // namespace
 
-// A gateway fills an engine and two of its three datagrams about it are lost. The third still says so, long
-// before the next whole digest: within that second others would have sent their prompts there too.
-Test(gossip_schedule, a_change_is_sent_three_times)
+// Guards against several gateways filling the same engine: two datagrams that report a load change are lost.
+// The third reports it long before the next full digest, which may be a second later.
+Test(gossip_schedule, sends_each_change_three_times)
 {
     gossip_schedule schedule;
     cr_assert(schedule.next({1, 5, 4}, true, start)->whole);
@@ -26,10 +26,10 @@
         cr_assert(digest && !digest->whole);
         sent += digest->changes_since < 3 ? 1 : 0;
     }
-    cr_assert(sent == 3, "change 3 stands in %d digests", sent);
+    cr_assert(sent == 3, "change 3 is listed in %d digests", sent);
 }
 
-Test(gossip_schedule, an_idle_gateway_speaks_rarely)
+Test(gossip_schedule, sends_digests_rarely_when_idle)
 {
     gossip_schedule schedule;
     (void)schedule.next({1, 5, 4}, true, start);
@@ -37,12 +37,12 @@
     cr_assert(schedule.next({1, 5, 4}, false, start + gossip_schedule::idle_gossip_interval));
     cr_assert(schedule.next({1, 6, 4}, false,
                             start + gossip_schedule::idle_gossip_interval + gossip_schedule::gossip_interval),
-              "a new revision is news");
+              "a new revision is a change");
 }
 
-// In a fleet of hundreds each gateway hears a digest of every other one: at the rate of a small fleet, a host
-// with a tenth of a processor would do nothing else.
-Test(gossip_schedule, digests_get_rarer_in_a_large_fleet)
+// In a fleet of hundreds each gateway receives the digests of all others. At the rate of a small fleet this
+// would use up a host with a tenth of a processor.
+Test(gossip_schedule, sends_digests_less_often_in_a_large_fleet)
 {
     gossip_schedule schedule;
     (void)schedule.next({1, 5, 320}, true, start);
@@ -50,15 +50,15 @@
     cr_assert(schedule.next({2, 5, 320}, false, start + 5 * gossip_schedule::gossip_interval));
 }
 
-Test(gossip_schedule, news_that_can_not_wait_goes_at_once)
+Test(gossip_schedule, sends_an_urgent_change_immediately)
 {
     gossip_schedule schedule;
     (void)schedule.next({1, 5, 320}, true, start);
     cr_assert(schedule.next({2, 5, 320}, true, start + 1ms));
 }
 
-// Guards against views in a large fleet that are older than in a small one: a relay holds digests back too.
-Test(gossip_schedule, digests_through_a_relay_go_out_more_often)
+// Guards against staler state in a large fleet than in a small one: a relay adds its own delay.
+Test(gossip_schedule, sends_digests_through_a_relay_more_often)
 {
     gossip_schedule schedule;
     const instant now(10s);
--- a/tests/direct/peers_test.cpp
+++ b/tests/direct/peers_test.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-Test(peer_table, a_peer_is_found_by_hearsay)
+Test(peer_table, learns_addresses_from_the_digests_of_peers)
 {
     peer_table table("self", "self:7340", {"seed:7340"});
     cr_assert(table.targets(start) == std::vector<std::string>{"seed:7340"});
@@ -33,20 +33,20 @@
     first.peers = {"other:7340", "self:7340"};
     cr_assert(table.take(first, start));
     cr_assert(contains(table.targets(start), "other:7340"));
-    cr_assert(!contains(table.targets(start), "self:7340"), "a gateway doesn't write to itself");
+    cr_assert(!contains(table.targets(start), "self:7340"), "a gateway does not send to itself");
     cr_assert(table.gateways() == 2);
 }
 
-Test(peer_table, a_silent_peer_is_forgotten)
+Test(peer_table, removes_a_peer_after_the_timeout)
 {
     peer_table table("self", "self:7340", {});
     (void)table.take(digest_of("p"), start);
-    cr_assert(table.expire_peers(start + peer_table::silence_limit).empty());
-    cr_assert(table.expire_peers(start + peer_table::silence_limit + 1ms) == std::vector<std::string>{"p"});
+    cr_assert(table.expire_peers(start + peer_table::peer_timeout).empty());
+    cr_assert(table.expire_peers(start + peer_table::peer_timeout + 1ms) == std::vector<std::string>{"p"});
     cr_assert(table.gateways() == 1);
 }
 
-Test(peer_table, a_digest_that_was_overtaken_is_left_out)
+Test(peer_table, ignores_a_digest_older_than_the_last_one)
 {
     peer_table table("self", "self:7340", {});
     peer_digest newer = digest_of("p", 5);
@@ -57,9 +57,9 @@
     cr_assert(!table.select_newer_peer(9));
 }
 
-// A gateway is killed and starts again at its address within a second: counted twice, it would halve what
-// everybody may take of the shared bounds.
-Test(peer_table, a_new_start_replaces_the_old_one)
+// Guards against counting a gateway twice that is killed and restarts at its address within a second: each
+// gateway's share of the shared limits would be too small.
+Test(peer_table, a_restarted_gateway_replaces_the_old_process)
 {
     peer_table table("self", "self:7340", {});
     peer_digest old = digest_of("p#1");
@@ -71,9 +71,9 @@
     cr_assert(table.gateways() == 2);
 }
 
-// The source of records refuses some hosts or dies under the reads of a large fleet. A few gateways read it
-// for all, and another one steps in as soon as one of them falls silent or can't read.
-Test(peer_table, a_few_gateways_read_the_source_and_others_step_in)
+// The record source may refuse some hosts, and a large fleet would overload it. A few gateways read it for
+// all, and another one takes over when one of them stops sending digests or cannot read the source.
+Test(peer_table, a_few_gateways_read_the_source_and_others_take_over)
 {
     int readers = 0;
     constexpr int fleet = 12;
@@ -83,23 +83,24 @@
             (void)table.take(digest_of("g" + std::to_string(peer)), start);
         }
         readers += table.must_read_source(start) ? 1 : 0;
-        cr_assert(table.must_read_source(start + peer_table::reader_silence + 1ms), "nobody is heard");
+        cr_assert(table.must_read_source(start + peer_table::source_reader_timeout + 1ms),
+                  "no peer has sent a digest");
     }
     cr_assert(readers == peer_table::source_readers, "%d", readers);
 }
 
-Test(peer_table, a_peer_that_can_not_read_is_not_relied_on)
+Test(peer_table, does_not_rely_on_peers_that_cannot_read_the_source)
 {
     peer_table table("self", "x", {});
     for (int peer = 0; peer < 20; ++peer) {
-        peer_digest blind = digest_of("g" + std::to_string(peer));
-        blind.reads_source = false;
-        (void)table.take(blind, start);
+        peer_digest unable = digest_of("g" + std::to_string(peer));
+        unable.reads_source = false;
+        (void)table.take(unable, start);
     }
     cr_assert(table.must_read_source(start));
 }
 
-Test(upstream_health, an_upstream_that_was_lost_is_left_alone_for_longer_each_time)
+Test(upstream_health, increases_the_backoff_with_each_loss)
 {
     upstream_health health;
     health.lost("u", start);
@@ -111,9 +112,9 @@
     cr_assert(!health.suspect("u", 0, again + upstream_health::longest_pause));
 }
 
-// A crashed upstream is back, perhaps. One call tries it; had all waiting calls gone there at once, all would
-// fail together if it isn't.
-Test(upstream_health, one_call_at_a_time_tries_it_again)
+// Guards against failing all waiting calls together on an upstream that has not recovered: after the backoff,
+// a single call probes it.
+Test(upstream_health, probes_a_lost_upstream_with_one_call_at_a_time)
 {
     upstream_health health;
     health.lost("u", start);
@@ -124,8 +125,8 @@
     cr_assert(!health.suspect("u", 1, later));
 }
 
-// A service refuses one look-up in seven for reasons of its own: that is no fault of the upstream.
-Test(upstream_health, usual_failures_do_not_count)
+// A service that fails one call in seven for reasons of its own does not make its upstream suspect.
+Test(upstream_health, tolerates_isolated_failures)
 {
     upstream_health health;
     for (int call = 0; call < 700; ++call) {
@@ -135,10 +136,10 @@
     for (int call = 0; call < 4; ++call) {
         health.failed("u", start);
     }
-    cr_assert(health.suspect("u", 0, start), "several in a row do");
+    cr_assert(health.suspect("u", 0, start), "several consecutive failures make it suspect");
 }
 
-Test(upstream_health, a_full_upstream_is_sound)
+Test(upstream_health, a_full_upstream_is_suspect_only_briefly)
 {
     upstream_health health;
     health.full("u", start);
@@ -146,9 +147,9 @@
     cr_assert(!health.suspect("u", 5, start + upstream_health::full_pause));
 }
 
-// A whole fleet starts again and most gateways learn the configuration from others. All asked the first of
-// those that had it; while it answered one after the other, the others ran out of time and asked it again.
-Test(peer_table, gateways_ask_different_peers_that_know_the_same)
+// Guards against overloading one peer when a whole fleet restarts: if all gateways fetched the configuration
+// from the first peer that has it, most requests would time out and be repeated.
+Test(peer_table, gateways_select_different_peers_with_the_same_revision)
 {
     std::set<std::string> asked;
     for (int own = 0; own < 20; ++own) {
@@ -179,9 +180,10 @@
     cr_assert(asked.size() >= 6, "%zu", asked.size());
 }
 
-// A configuration of half a megabyte changes while engines begin to leave. Twenty gateways all asked the one
-// that knew most, whose link took three seconds for it; calls went to the leaving engines until then.
-Test(peer_table, gateways_ask_different_peers_that_know_different_changes)
+// Guards against stale upstreams while a configuration of half a megabyte is fetched: twenty gateways asked
+// the peer with the newest revision, its link took three seconds, and until then calls went to draining
+// engines.
+Test(peer_table, gateways_select_different_peers_with_different_revisions)
 {
     std::set<std::string> asked;
     int large = 0;
@@ -198,11 +200,11 @@
         large += peer == "peer-0" || peer == "peer-1" ? 1 : 0;
     }
     cr_assert(asked.size() >= 4, "%zu", asked.size());
-    cr_assert(large >= 20, "%d of 40 ask a large one", large);
+    cr_assert(large >= 20, "%d of 40 select a large one", large);
 }
 
-// The gateways that read the source first hand were small ones, whose links took a second to pass a large
-// configuration on: each gateway's fetch ran into its limit, and all began anew.
+// Guards against small gateways as source readers: their links take a second to send a large configuration,
+// so the other gateways' fetches time out and start again.
 Test(peer_table, large_gateways_read_the_source)
 {
     const auto reads = [](const std::string& self, int millicores) {
--- a/tests/direct/source_listing_test.cpp
+++ b/tests/direct/source_listing_test.cpp
@@ -15,10 +15,9 @@
 
 } // namespace
 
-// Three hundred gateways start at once, and the source's link is full: one call in three runs out of time.
-// Each listing began again from its first page then, so that the link stayed full and nobody knew anything
-// for seconds. What was listed is kept.
-Test(source_listing, a_failed_call_does_not_begin_the_listing_anew)
+// Guards against listings that never finish: 300 gateways start at once, the source's link is saturated and
+// one call in three times out. If each timeout restarted the listing, the link would stay saturated.
+Test(source_listing, keeps_listed_pages_after_a_failed_call)
 {
     source_listing listing;
     cr_assert(!listing.take(page("a", "b", 10, true)));
@@ -26,23 +25,24 @@
     cr_assert(listing.cursor() == "b");
     const auto whole = listing.take(page("c", "d", 14, false));
     cr_assert(whole && whole->whole && whole->records.size() == 4);
-    cr_assert(whole->as_of == 10, "changes since the first page are still to come");
+    cr_assert(whole->as_of == 10, "changes since the first page are read later");
 }
 
-Test(source_listing, calls_get_longer_after_failures_up_to_a_bound)
+Test(source_listing, increases_the_call_timeout_after_failures_up_to_a_maximum)
 {
     source_listing listing;
-    cr_assert(listing.call_timeout() == source_listing::first_limit);
+    cr_assert(listing.call_timeout() == source_listing::initial_call_timeout);
     for (int i = 0; i < 10; ++i) {
         listing.failed();
     }
-    cr_assert(listing.call_timeout() == source_listing::longest_limit);
+    cr_assert(listing.call_timeout() == source_listing::max_call_timeout);
     (void)listing.take(page("a", "b", 10, true));
-    cr_assert(listing.call_timeout() == source_listing::first_limit);
+    cr_assert(listing.call_timeout() == source_listing::initial_call_timeout);
 }
 
-// The source has forgotten its history: what was listed before may lack removals that nobody tells any more.
-Test(source_listing, a_restart_forgets_what_was_listed)
+// After the source has lost its history, the pages listed before may contain records whose removal is no
+// longer reported.
+Test(source_listing, discards_listed_pages_on_restart)
 {
     source_listing listing;
     (void)listing.take(page("a", "b", 10, true));
@@ -52,7 +52,7 @@
     cr_assert(whole && whole->records.size() == 2 && whole->as_of == 20);
 }
 
-Test(source_listing, an_empty_page_ends_a_listing)
+Test(source_listing, ends_a_listing_at_an_empty_page)
 {
     source_listing listing;
     (void)listing.take(page("a", "b", 10, true));
--- a/tests/direct/upstream_list_test.cpp
+++ b/tests/direct/upstream_list_test.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-Test(upstream_list, an_older_configuration_does_not_come_back)
+Test(upstream_list, ignores_an_older_configuration)
 {
     upstream_list list;
     list.take("config", config(8), start);
@@ -37,7 +37,7 @@
     cr_assert(list.config()->version() == 8);
 }
 
-Test(upstream_list, a_leaving_upstream_takes_no_work)
+Test(upstream_list, sends_no_work_to_a_draining_upstream)
 {
     upstream_list list;
     upstream_entry leaving = entry("u1");
@@ -48,9 +48,9 @@
     cr_assert(!list.accepts_work(list.upstreams().at("u1")));
 }
 
-// All upstreams vanish from the registry for a second, although they serve: their entries lapsed while the
-// registry was down, and they register again after its return. Callers would be refused all that time.
-Test(upstream_list, a_removal_right_after_an_outage_is_held_back)
+// Guards against refusing all callers after a registry outage: the entries of running upstreams expired
+// during it, and the upstreams register again about a second after its end.
+Test(upstream_list, delays_a_removal_right_after_an_outage)
 {
     upstream_list list;
     list.take("k1", entry("u1"), start);
@@ -60,12 +60,12 @@
     list.tick(start + 1s);
     cr_assert(list.upstreams().size() == 2);
     list.take("k1", entry("u1"), start + 1s);
-    list.tick(start + upstream_list::removal_hold);
+    list.tick(start + upstream_list::removal_delay);
     cr_assert(list.upstreams().contains("u1"));
-    cr_assert(!list.upstreams().contains("u2"), "one that stays away is gone");
+    cr_assert(!list.upstreams().contains("u2"), "an upstream that does not reappear is removed");
 }
 
-Test(upstream_list, a_removal_in_calm_times_counts_at_once)
+Test(upstream_list, applies_a_removal_at_once_without_an_outage)
 {
     upstream_list list;
     list.take("k1", entry("u1"), start);
@@ -73,9 +73,9 @@
     cr_assert(list.upstreams().empty());
 }
 
-// Operators take a failure domain out and bring it back; its upstreams were restarted unseen and are cold.
-// Full load from all gateways at once would crash them.
-Test(upstream_list, upstreams_of_a_domain_that_comes_back_count_as_cold)
+// Guards against crashing cold upstreams with the full load of all gateways: upstreams of a drained failure
+// domain may have restarted unnoticed before operators put the domain back into service.
+Test(upstream_list, treats_upstreams_of_a_restored_domain_as_cold)
 {
     upstream_list list;
     list.take("config", config(1), start);
@@ -90,8 +90,8 @@
     cr_assert(list.upstreams().at("u2").cold_until <= start);
 }
 
-// An upstream crashes and starts again under the id that it had: it knows nothing of before and is cold.
-Test(upstream_list, a_new_start_under_the_same_id_is_a_new_upstream)
+// An upstream that restarts under the same id has lost its state and is cold.
+Test(upstream_list, treats_a_restart_under_the_same_id_as_a_new_upstream)
 {
     upstream_list list;
     upstream_entry one = entry("u1");
@@ -103,8 +103,8 @@
     cr_assert(list.upstreams().at("u1").cold_until == start + 63s);
 }
 
-// Another writer puts garbage under an upstream's name. It names no upstream to use; the others stay.
-Test(upstream_list, an_entry_that_can_not_be_read_takes_its_upstream_out)
+// An invalid entry written under an upstream's key removes that upstream only.
+Test(upstream_list, removes_the_upstream_of_an_entry_that_cannot_be_decoded)
 {
     upstream_list list;
     list.take("k1", entry("u1"), start);
