--- a/include/dragonflymill/once/call_digest.h
+++ b/include/dragonflymill/once/call_digest.h
@@ -8,7 +8,7 @@
 
 namespace dragonflymill {
 
-/// First 128 bits of a SHA-256: stands for an idempotency key or a body without keeping its text.
+/// First 128 bits of a SHA-256. Identifies an idempotency key or a body without storing its text.
 struct call_digest
 {
     std::uint64_t high = 0; ///< First 64 bits.
@@ -17,13 +17,13 @@
     friend auto operator==(const call_digest&, const call_digest&) -> bool = default;
 };
 
-/// Digest of `parts`, each with its length, so that no two lists of parts run into one.
+/// Returns the digest of `parts`. Each part is prefixed with its length, so different lists of parts never
+/// hash the same bytes.
 [[nodiscard]] auto digest_of(std::initializer_list<std::string_view> parts) -> call_digest;
 
-/// Hash of a digest for hashed containers: its bits are uniform already.
+/// Hash of a digest for hashed containers. The bits of a digest are uniform already.
 struct call_digest_hash
 {
-    /// The hash.
     [[nodiscard]] auto operator()(const call_digest& value) const noexcept -> std::size_t
     {
         return static_cast<std::size_t>(value.low);
--- a/include/dragonflymill/once/ticket.h
+++ b/include/dragonflymill/once/ticket.h
@@ -10,37 +10,37 @@
 
 namespace dragonflymill {
 
-/// Number of a call in the ledger of one sidecar incarnation; never used twice by it.
+/// Number of a call in the ledger of one sidecar incarnation, which never reuses it.
 using call_serial = number_id<struct call_serial_tag>;
 
-/// Leave to run one call that may not be repeated: pinned to the one sidecar incarnation that minted it.
+/// Permission to run one non-repeatable call, valid only at the sidecar incarnation that minted it.
 struct ticket
 {
-    upstream_id upstream;      ///< The upstream whose sidecar minted it, and where it has to be submitted.
-    route_id route;            ///< The route it is good for.
-    client_account_id account; ///< The client account it is good for.
-    incarnation issuer;        ///< The one incarnation of the sidecar that may run it.
-    call_serial serial;        ///< Its number there.
-    instant submit_by; ///< Last moment to submit it, on the issuer's own clock; means nothing elsewhere.
+    upstream_id upstream;      ///< Upstream whose sidecar minted it and to which it must be submitted.
+    route_id route;            ///< Route that it is valid for.
+    client_account_id account; ///< Client account that it is valid for.
+    incarnation issuer;        ///< The only sidecar incarnation that may run it.
+    call_serial serial;        ///< Number of the call at the issuer.
+    instant submit_by;         ///< Last time to submit it, on the issuer's clock; meaningless elsewhere.
 
     friend auto operator==(const ticket&, const ticket&) -> bool = default;
 };
 
-/// Writes tickets as text and reads them back, under an HMAC-SHA256 with a key out of the settings, so that
-/// nobody outside can make one or change its route, account or issuer.
+/// Encodes and decodes tickets as text, authenticated by an HMAC-SHA256 with a key from the settings. Clients
+/// can neither forge a ticket nor change its route, account or issuer.
 class ticket_codec
 {
 public:
-    /// Works with `key`, which is the same at every process of the system.
+    /// `key` must be the same in every process of the system.
     explicit ticket_codec(std::string key);
 
-    /// The ticket as text that is safe in headers and paths.
+    /// Returns the ticket as text that is safe in headers and paths.
     [[nodiscard]] auto encode(const ticket& value) const -> std::string;
-    /// The ticket that `text` stands for; `corrupt` when it is not one of ours.
+    /// Returns the ticket encoded in `text`; fails with `corrupt` if it is malformed or not authentic.
     [[nodiscard]] auto decode(std::string_view text) const -> result<ticket>;
 
 private:
-    [[nodiscard]] auto seal_of(std::string_view payload) const -> std::string;
+    [[nodiscard]] auto compute_mac(std::string_view payload) const -> std::string;
 
     std::string key_;
 };
--- a/include/dragonflymill/once/uuid_time.h
+++ b/include/dragonflymill/once/uuid_time.h
@@ -7,8 +7,8 @@
 
 namespace dragonflymill {
 
-/// The time inside a UUID of version 7, to the millisecond; nothing for any other text. Such a key tells when
-/// the caller made it, and so whether an earlier incarnation of a sidecar can have seen it.
+/// Returns the timestamp of a version 7 UUID, in ms resolution; nothing for any other text. The timestamp of
+/// such a key shows whether an earlier incarnation of a sidecar can have received it.
 [[nodiscard]] auto uuid_v7_time(std::string_view text) -> std::optional<wall_instant>;
 
 } // namespace dragonflymill
--- a/src/once/key_home.cpp
+++ b/src/once/key_home.cpp
@@ -37,9 +37,10 @@
     std::sort(configured.begin(), configured.end());
     const auto found = routes_.find(route);
     if (found == routes_.end()) {
-        // What was in force before this process started is not known: others may have been home until now.
+        // The bundles in force before this process started are unknown: other upstreams may have been the
+        // home until now.
         if (routes_.size() < options_.max_routes) {
-            routes_[route] = {std::move(configured), {}, now + options_.spread};
+            routes_[route] = {std::move(configured), {}, now + options_.propagation_time};
         }
         return;
     }
@@ -53,11 +54,12 @@
 
 void key_home::prune(instant now, route_views& views) const
 {
-    // An upstream set that ended longer ago than outcomes are remembered makes no difference any more.
-    const duration kept = options_.spread + options_.remember_for;
+    // An upstream set that was replaced before the oldest remembered outcome is no longer relevant.
+    const duration kept = options_.propagation_time + options_.remember_for;
     std::erase_if(views.earlier, [&](const view& earlier) { return earlier.ended + kept < now; });
     while (views.earlier.size() > options_.max_views) {
-        views.unknown_until = std::max(views.unknown_until, views.earlier.front().ended + options_.spread);
+        views.unknown_until =
+            std::max(views.unknown_until, views.earlier.front().ended + options_.propagation_time);
         views.earlier.erase(views.earlier.begin());
     }
 }
@@ -77,7 +79,7 @@
     instant until = found->second.unknown_until;
     for (const view& earlier : found->second.earlier) {
         if (home_of(key, earlier.configured) != options_.self) {
-            until = std::max(until, earlier.ended + options_.spread);
+            until = std::max(until, earlier.ended + options_.propagation_time);
         }
     }
     return until;
--- a/src/once/once_ledger.cpp
+++ b/src/once/once_ledger.cpp
@@ -9,13 +9,13 @@
 namespace dragonflymill {
 namespace {
 
-/// Bytes of one remembered call without its answer: the entry, its places in both maps and in the queue.
+/// Size in bytes of a remembered call without its answer: the entry, its nodes in both maps and in the queue.
 constexpr std::size_t call_bytes = 384;
-/// Bytes of an answer without its texts.
+/// Size in bytes of an answer without its texts.
 constexpr std::size_t answer_bytes = 128;
-/// Shortest and longest retry time when the ledger is full.
-constexpr duration shortest_retry = 100ms;
-constexpr duration longest_retry = 5s;
+/// Minimum and maximum `retry_after` when the ledger is full.
+constexpr duration min_retry_after = 100ms;
+constexpr duration max_retry_after = 5s;
 
 auto size_of(const once_answer& answer) -> std::size_t
 {
@@ -39,7 +39,7 @@
 once_ledger::once_ledger(once_ledger_options options)
     : options_(std::move(options))
     , codec_(options_.ticket_key)
-    , own_since_(options_.started + options_.predecessor_lease)
+    , exclusive_since_(options_.started + options_.predecessor_lease)
 {
 }
 
@@ -51,17 +51,18 @@
 
 auto once_ledger::refuse_full(instant now) const -> refusal
 {
-    const duration next = due_.empty() ? longest_retry : due_.top().first - awake(now);
-    return {refusal_code::overloaded, ran_state::no, std::clamp(next, shortest_retry, longest_retry),
+    const duration next =
+        expiry_queue_.empty() ? max_retry_after : expiry_queue_.top().first - active_time(now);
+    return {refusal_code::overloaded, ran_state::no, std::clamp(next, min_retry_after, max_retry_after),
             "the ledger of calls that may not be repeated is full; come back after retry_after"};
 }
 
 auto once_ledger::add(duration remember_for) -> call_serial
 {
     const call_serial serial(next_serial_++);
-    entry& held = calls_[serial];
-    held.remember_for = remember_for;
-    set_bytes(held, call_bytes + answer_bytes + options_.max_answer_bytes);
+    entry& stored = calls_[serial];
+    stored.remember_for = remember_for;
+    set_bytes(stored, call_bytes + answer_bytes + options_.max_answer_bytes);
     return serial;
 }
 
@@ -72,18 +73,18 @@
         return refuse_full(now);
     }
     const call_serial serial = add(owner.remember_for);
-    const instant submit_by = now + options_.submit_term;
-    set_due(serial, calls_[serial], awake(submit_by));
+    const instant submit_by = now + options_.submit_timeout;
+    set_expiry(serial, calls_[serial], active_time(submit_by));
     const ticket minted{options_.upstream, owner.route, owner.account, options_.self, serial, submit_by};
-    return once_minted{codec_.encode(minted), serial, options_.submit_term};
+    return once_minted{codec_.encode(minted), serial, options_.submit_timeout};
 }
 
 auto once_ledger::look(instant now, const once_call& call) -> once_outcome
 {
     tick(now);
     const known_call known = find(now, call);
-    if (known.settled) {
-        return *known.settled;
+    if (known.outcome) {
+        return *known.outcome;
     }
     if (!known.serial && full()) {
         return refuse_full(now);
@@ -95,12 +96,12 @@
 {
     tick(now);
     const known_call known = find(now, call);
-    // Guarded failure: the caller's retry reaches another gateway, or this sidecar's successor, and a booking
-    // is made twice. Only a call that is provably new here gets past this line, and it is recorded before its
-    // first byte leaves, so that every later try finds it.
-    const bool malformed = known.settled && std::holds_alternative<error>(*known.settled);
-    if ((guard_holds(guard::at_most_once) || malformed) && known.settled) {
-        return *known.settled;
+    // Guards against running a call twice when the caller's retry arrives through another gateway or at this
+    // sidecar's successor. Only a call that is provably new here passes this check, and it is recorded before
+    // its first byte is sent, so every later attempt finds it.
+    const bool malformed = known.outcome && std::holds_alternative<error>(*known.outcome);
+    if ((guard_holds(guard::at_most_once) || malformed) && known.outcome) {
+        return *known.outcome;
     }
     if (!known.serial && full()) {
         return refuse_full(now);
@@ -111,15 +112,15 @@
 auto once_ledger::record(const once_call& call, std::optional<call_serial> serial) -> call_serial
 {
     const call_serial recorded = serial ? *serial : add(call.owner.remember_for);
-    entry& held = calls_[recorded];
-    held.state = call_state::recorded;
-    held.body = call.body;
-    held.remember_for = call.owner.remember_for;
-    held.due = instant::max();
+    entry& stored = calls_[recorded];
+    stored.state = call_state::recorded;
+    stored.body = call.body;
+    stored.remember_for = call.owner.remember_for;
+    stored.expires_at = instant::max();
     if (std::holds_alternative<key_name>(call.name)) {
-        held.has_key = true;
-        held.key = key_digest(call);
-        keys_[held.key] = recorded;
+        stored.has_key = true;
+        stored.key = key_digest(call);
+        keys_[stored.key] = recorded;
     }
     return recorded;
 }
@@ -144,8 +145,8 @@
     if (!ours) {
         return {std::nullopt, wrong_owner()};
     }
-    // No clock and no store is asked what the other incarnation did: it alone knows, and if it lives, paused,
-    // it may still send.
+    // Neither a clock nor a store can show what the other incarnation did: only it knows, and if it is merely
+    // paused, it may still send the call.
     if (value.issuer != options_.self) {
         return {std::nullopt, once_unknown{unknown_reason::other_incarnation}};
     }
@@ -153,14 +154,14 @@
     if (found == calls_.end()) {
         return {std::nullopt, once_unknown{unknown_reason::forgotten}};
     }
-    return {value.serial, settled_of(value.serial, found->second, call)};
+    return {value.serial, outcome_of(value.serial, found->second, call)};
 }
 
 auto once_ledger::find_key(instant now, const once_call& call, const key_name& name) const -> known_call
 {
     const auto found = keys_.find(key_digest(call));
     if (found != keys_.end()) {
-        return {found->second, settled_of(found->second, calls_.at(found->second), call)};
+        return {found->second, outcome_of(found->second, calls_.at(found->second), call)};
     }
     if (!name.is_home) {
         return {std::nullopt, once_unknown{unknown_reason::not_home}};
@@ -174,23 +175,23 @@
     return {};
 }
 
-auto once_ledger::settled_of(call_serial serial, const entry& held, const once_call& call)
+auto once_ledger::outcome_of(call_serial serial, const entry& stored, const once_call& call)
     -> std::optional<once_outcome>
 {
-    if (held.body && call.body && *held.body != *call.body) {
+    if (stored.body && call.body && *stored.body != *call.body) {
         return other_body();
     }
-    switch (held.state) {
+    switch (stored.state) {
     case call_state::minted:
         return std::nullopt;
     case call_state::recorded:
     case call_state::sent:
         return once_join{serial};
     case call_state::answered:
-        return once_replay{*held.answer};
+        return once_replay{*stored.answer};
     case call_state::broken:
         return once_unknown{unknown_reason::broken};
-    case call_state::dead:
+    case call_state::revoked:
         return once_not_run{};
     }
     return std::nullopt;
@@ -198,22 +199,23 @@
 
 auto once_ledger::provably_first(instant now, const call_owner& owner, const key_name& name) const -> bool
 {
-    // The last moment at which a predecessor of this sidecar, or another home, could have taken the key.
-    const instant since = std::max(own_since_, name.other_home_until.value_or(own_since_));
+    // The last time at which a predecessor of this sidecar, or another home, may have accepted the key.
+    const instant since = std::max(exclusive_since_, name.other_home_until.value_or(exclusive_since_));
     const auto made = uuid_v7_time(name.key);
-    // Civil time is this process's at its start, carried on by its monotonic clock: a clock that is set later
-    // changes nothing.
+    // The wall clock is read once at the start and advanced by the monotonic clock, so later adjustments of
+    // the wall clock have no effect.
     const wall_instant wall_now = options_.started_wall + (now - options_.started);
     const bool from_the_future = made && *made > wall_now + options_.clock_skew;
     if (made && !from_the_future) {
         const wall_instant wall_since = options_.started_wall + (since - options_.started);
-        // Made so long ago that its outcome may have been forgotten already: first or repeated, who can tell.
+        // The outcome of an older key may have expired already, so a first attempt cannot be told from a
+        // retry.
         const bool still_remembered = *made > wall_now + options_.clock_skew - owner.remember_for;
         return still_remembered && *made > wall_since + options_.clock_skew;
     }
-    // Awake time, as in account_for_process_pause(): a retry may have waited in a socket for as long as the
+    // Active time, as in account_for_process_pause(): a retry may have been queued in a socket for the whole
     // pause.
-    return awake(now) > since + owner.remember_for;
+    return active_time(now) > since + owner.remember_for;
 }
 
 auto once_ledger::may_run_keys(instant now) const -> bool
@@ -233,13 +235,14 @@
     if (found == calls_.end() || found->second.state != call_state::recorded) {
         return false;
     }
-    entry& held = found->second;
-    // Guarded failure: this process was paused after it took a call by key, its successor has waited out its
-    // lease and may have run the caller's retry. The lease is looked at again, just before the first byte.
-    if (guard_holds(guard::at_most_once) && held.has_key && !may_run_keys(now)) {
+    entry& stored = found->second;
+    // Guards against running a call twice when this process was paused after it accepted a call by key: its
+    // lease has expired and a successor may have run the caller's retry. The lease is checked again just
+    // before the first byte is sent.
+    if (guard_holds(guard::at_most_once) && stored.has_key && !may_run_keys(now)) {
         return false;
     }
-    held.state = call_state::sent;
+    stored.state = call_state::sent;
     return true;
 }
 
@@ -249,19 +252,19 @@
     if (found == calls_.end()) {
         return false;
     }
-    entry& held = found->second;
-    const bool unsent = held.state == call_state::recorded || held.state == call_state::minted;
-    // Without the own lease a successor may have run the key once its promise to remember was over.
-    if (unsent && held.has_key && !may_run_keys(now)) {
-        settle(now, serial, held, call_state::broken);
+    entry& stored = found->second;
+    const bool unsent = stored.state == call_state::recorded || stored.state == call_state::minted;
+    // Without its lease, a successor may have run the key after `remember_for` had passed.
+    if (unsent && stored.has_key && !may_run_keys(now)) {
+        settle(now, serial, stored, call_state::broken);
         return false;
     }
     if (unsent) {
-        // Dead, not free again: the caller is told `no` now, and a late copy of this try must not make it a
-        // lie.
-        settle(now, serial, held, call_state::dead);
+        // The call is revoked rather than removed: the caller receives ran `no`, and a late copy of this
+        // attempt must not run after that.
+        settle(now, serial, stored, call_state::revoked);
     }
-    return held.state == call_state::dead;
+    return stored.state == call_state::revoked;
 }
 
 void once_ledger::answered(instant now, call_serial serial, once_answer answer)
@@ -270,17 +273,17 @@
     if (found == calls_.end()) {
         return;
     }
-    entry& held = found->second;
-    if (held.state == call_state::answered) {
-        return; // the first answer is the one that other tries may have been given
+    entry& stored = found->second;
+    if (stored.state == call_state::answered) {
+        return; // other attempts may have received the first answer already
     }
-    const bool awaited = held.state == call_state::sent || held.state == call_state::broken;
-    DRAGONFLYMILL_ASSERT(awaited, "only what was sent gets an answer");
+    const bool expected = stored.state == call_state::sent || stored.state == call_state::broken;
+    DRAGONFLYMILL_ASSERT(expected, "an answer requires a call that was sent");
     if (size_of(answer) > options_.max_answer_bytes) {
         answer = {answer.status, {}, {}, false};
     }
-    held.answer = std::make_unique<once_answer>(std::move(answer));
-    settle(now, serial, held, call_state::answered);
+    stored.answer = std::make_unique<once_answer>(std::move(answer));
+    settle(now, serial, stored, call_state::answered);
 }
 
 void once_ledger::broken(instant now, call_serial serial)
@@ -291,18 +294,18 @@
     }
 }
 
-auto once_ledger::void_call(instant now, const once_call& call) -> once_outcome
+auto once_ledger::revoke_call(instant now, const once_call& call) -> once_outcome
 {
     tick(now);
     const known_call known = find(now, call);
-    if (known.settled) {
-        return *known.settled;
+    if (known.outcome) {
+        return *known.outcome;
     }
     if (!known.serial && full()) {
         return once_unknown{unknown_reason::maybe_earlier};
     }
     const call_serial serial = record(call, known.serial);
-    settle(now, serial, calls_[serial], call_state::dead);
+    settle(now, serial, calls_[serial], call_state::revoked);
     return once_not_run{};
 }
 
@@ -310,44 +313,45 @@
 {
     tick(now);
     const known_call known = find(now, call);
-    return known.settled.value_or(once_pending{});
+    return known.outcome.value_or(once_pending{});
 }
 
-void once_ledger::set_bytes(entry& held, std::size_t bytes)
+void once_ledger::set_bytes(entry& stored, std::size_t bytes)
 {
     bytes_ += bytes;
-    bytes_ -= held.bytes;
-    held.bytes = bytes;
+    bytes_ -= stored.bytes;
+    stored.bytes = bytes;
 }
 
-void once_ledger::set_due(call_serial serial, entry& held, instant due)
+void once_ledger::set_expiry(call_serial serial, entry& stored, instant expires_at)
 {
-    held.due = due;
-    due_.emplace(due, serial);
+    stored.expires_at = expires_at;
+    expiry_queue_.emplace(expires_at, serial);
 }
 
-void once_ledger::settle(instant now, call_serial serial, entry& held, call_state state)
+void once_ledger::settle(instant now, call_serial serial, entry& stored, call_state state)
 {
-    held.state = state;
+    stored.state = state;
     switch (state) {
     case call_state::answered:
-        set_bytes(held, call_bytes + answer_bytes + size_of(*held.answer));
+        set_bytes(stored, call_bytes + answer_bytes + size_of(*stored.answer));
         break;
-    case call_state::dead:
-        set_bytes(held, call_bytes);
+    case call_state::revoked:
+        set_bytes(stored, call_bytes);
         break;
     default:
         break;
     }
-    set_due(serial, held, awake(now) + held.remember_for);
+    set_expiry(serial, stored, active_time(now) + stored.remember_for);
 }
 
 void once_ledger::account_for_process_pause(instant now)
 {
-    // Guarded failure: this process was paused until outcomes were over, and then finds a retry in its
-    // sockets that was sent in time: the key would pass for new and run again, or be said to be not run.
+    // Guards against a pause of this process that outlasts remembered outcomes: a retry that was sent in time
+    // is still queued in its sockets, and its key would be treated as new and run again, or be reported as
+    // not run.
     if (last_call_ && now - *last_call_ > options_.pause_threshold) {
-        paused_ += now - *last_call_;
+        paused_time_ += now - *last_call_;
     }
     last_call_ = now;
 }
@@ -355,16 +359,16 @@
 void once_ledger::tick(instant now)
 {
     account_for_process_pause(now);
-    while (!due_.empty() && due_.top().first <= awake(now)) {
-        const auto [due, serial] = due_.top();
-        due_.pop();
+    while (!expiry_queue_.empty() && expiry_queue_.top().first <= active_time(now)) {
+        const auto [expires_at, serial] = expiry_queue_.top();
+        expiry_queue_.pop();
         const auto found = calls_.find(serial);
-        // A call that was settled again since has a later item in the queue.
-        if (found == calls_.end() || found->second.due != due) {
+        // A call that was settled again has a later item in the queue.
+        if (found == calls_.end() || found->second.expires_at != expires_at) {
             continue;
         }
         if (found->second.state == call_state::minted) {
-            settle(now, serial, found->second, call_state::dead);
+            settle(now, serial, found->second, call_state::revoked);
         }
         else {
             forget(serial);
--- a/src/once/ticket.cpp
+++ b/src/once/ticket.cpp
@@ -12,13 +12,13 @@
 namespace dragonflymill {
 namespace {
 
-/// First byte of every ticket; another layout takes another one.
-constexpr char layout = 1;
-/// Bytes of the HMAC-SHA256 at the end.
-constexpr std::size_t seal_size = 32;
-/// Longest text that is looked at.
+/// First byte of every ticket; identifies the format.
+constexpr char format_version = 1;
+/// Size in bytes of the HMAC-SHA256 at the end.
+constexpr std::size_t mac_size = 32;
+/// Maximum length of a text that is decoded.
 constexpr std::size_t max_text = 1'024;
-/// Longest name in a ticket.
+/// Maximum length in bytes of a name in a ticket.
 constexpr std::size_t max_name = 200;
 
 constexpr std::string_view hex_digits = "0123456789abcdef";
@@ -36,8 +36,8 @@
     bytes.append(name);
 }
 
-/// Takes fields off the front of a payload; once one is missing, all further ones are empty and `whole` is
-/// false.
+/// Reads consecutive fields of a payload. Once a field is missing, all further ones are empty and `complete`
+/// is false.
 class payload_reader
 {
 public:
@@ -63,13 +63,13 @@
 
     auto name() -> std::string { return std::string(take(byte())); }
 
-    [[nodiscard]] auto whole() const -> bool { return whole_ && left_.empty(); }
+    [[nodiscard]] auto complete() const -> bool { return complete_ && left_.empty(); }
 
 private:
     auto take(std::size_t count) -> std::string_view
     {
         if (count > left_.size()) {
-            whole_ = false;
+            complete_ = false;
             left_ = {};
             return {};
         }
@@ -79,7 +79,7 @@
     }
 
     std::string_view left_;
-    bool whole_ = true;
+    bool complete_ = true;
 };
 
 auto to_hex(std::string_view bytes) -> std::string
@@ -124,41 +124,41 @@
 {
 }
 
-auto ticket_codec::seal_of(std::string_view payload) const -> std::string
+auto ticket_codec::compute_mac(std::string_view payload) const -> std::string
 {
-    std::array<unsigned char, seal_size> seal{};
-    unsigned int size = seal_size;
+    std::array<unsigned char, mac_size> mac{};
+    unsigned int size = mac_size;
     HMAC(EVP_sha256(), key_.data(), static_cast<int>(key_.size()),
-         reinterpret_cast<const unsigned char*>(payload.data()), payload.size(), seal.data(), &size);
-    return {reinterpret_cast<const char*>(seal.data()), seal.size()};
+         reinterpret_cast<const unsigned char*>(payload.data()), payload.size(), mac.data(), &size);
+    return {reinterpret_cast<const char*>(mac.data()), mac.size()};
 }
 
 auto ticket_codec::encode(const ticket& value) const -> std::string
 {
-    std::string payload(1, layout);
+    std::string payload(1, format_version);
     put_name(payload, value.upstream.text().substr(0, max_name));
     put_name(payload, value.route.text().substr(0, max_name));
     put_name(payload, value.account.text().substr(0, max_name));
     put_number(payload, value.issuer.value());
     put_number(payload, value.serial.value());
     put_number(payload, static_cast<std::uint64_t>(value.submit_by.time_since_epoch().count()));
-    return to_hex(payload + seal_of(payload));
+    return to_hex(payload + compute_mac(payload));
 }
 
 auto ticket_codec::decode(std::string_view text) const -> result<ticket>
 {
     const auto bytes = from_hex(text);
-    if (!bytes || bytes->size() <= seal_size) {
+    if (!bytes || bytes->size() <= mac_size) {
         return not_a_ticket();
     }
-    const std::string_view payload = std::string_view(*bytes).substr(0, bytes->size() - seal_size);
-    const std::string expected = seal_of(payload);
-    // Compared in constant time: a forger must not learn a seal byte by byte.
-    if (CRYPTO_memcmp(expected.data(), bytes->data() + payload.size(), seal_size) != 0) {
+    const std::string_view payload = std::string_view(*bytes).substr(0, bytes->size() - mac_size);
+    const std::string expected = compute_mac(payload);
+    // Compared in constant time, so that a MAC cannot be guessed byte by byte from response times.
+    if (CRYPTO_memcmp(expected.data(), bytes->data() + payload.size(), mac_size) != 0) {
         return not_a_ticket();
     }
     payload_reader reader(payload);
-    const bool known_layout = reader.byte() == layout;
+    const bool known_format = reader.byte() == format_version;
     ticket value;
     value.upstream = upstream_id(reader.name());
     value.route = route_id(reader.name());
@@ -166,7 +166,7 @@
     value.issuer = incarnation(reader.number());
     value.serial = call_serial(reader.number());
     value.submit_by = instant(duration(static_cast<duration::rep>(reader.number())));
-    if (!known_layout || !reader.whole()) {
+    if (!known_format || !reader.complete()) {
         return not_a_ticket();
     }
     return value;
--- a/src/once/uuid_time.cpp
+++ b/src/once/uuid_time.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr std::size_t uuid_length = 36;
-constexpr std::size_t version_place = 14;
+constexpr std::size_t version_position = 14;
 constexpr std::size_t time_digits = 12;
 
 auto digit_of(char c) -> int
@@ -20,22 +20,22 @@
     return c >= 'A' && c <= 'F' ? c - 'A' + 10 : -1;
 }
 
-auto is_dash_place(std::size_t place) -> bool
+auto is_dash_position(std::size_t position) -> bool
 {
-    return place == 8 || place == 13 || place == 18 || place == 23;
+    return position == 8 || position == 13 || position == 18 || position == 23;
 }
 
 } // namespace
 
 auto uuid_v7_time(std::string_view text) -> std::optional<wall_instant>
 {
-    if (text.size() != uuid_length || text[version_place] != '7') {
+    if (text.size() != uuid_length || text[version_position] != '7') {
         return std::nullopt;
     }
     std::int64_t milliseconds = 0;
     std::size_t digits = 0;
     for (std::size_t i = 0; i < uuid_length; ++i) {
-        if (is_dash_place(i)) {
+        if (is_dash_position(i)) {
             if (text[i] != '-') {
                 return std::nullopt;
             }
--- a/src/order/order_tracker.cpp
+++ b/src/order/order_tracker.cpp
@@ -10,9 +10,9 @@
 namespace dragonflymill {
 namespace {
 
-/// Bits of a fencing number that hold the sidecar's start; the bundle's version stands above them.
+/// Low bits of a fencing number, which hold the sidecar's start; the bundle's version is stored above them.
 constexpr std::uint32_t start_bits = 32;
-/// Doublings after which the wait after failed orders has reached its longest in any case.
+/// Doublings after which the backoff has reached its maximum in any case.
 constexpr std::uint32_t max_doublings = 8;
 
 auto fence_of(bundle_version version, std::uint32_t start_seconds) -> fencing_number
@@ -26,17 +26,17 @@
 }
 
 template <typename Id>
-auto contains(const std::vector<Id>& all, const Id& one) -> bool
+auto contains(const std::vector<Id>& all, const Id& candidate) -> bool
 {
-    return std::find(all.begin(), all.end(), one) != all.end();
+    return std::find(all.begin(), all.end(), candidate) != all.end();
 }
 
 template <typename Id>
-auto first_missing(const std::vector<Id>& wanted, const std::vector<Id>& present) -> std::optional<Id>
+auto first_not_in(const std::vector<Id>& wanted, const std::vector<Id>& present) -> std::optional<Id>
 {
-    for (const Id& one : wanted) {
-        if (!contains(present, one)) {
-            return one;
+    for (const Id& candidate : wanted) {
+        if (!contains(present, candidate)) {
+            return candidate;
         }
     }
     return std::nullopt;
@@ -59,7 +59,7 @@
     : options_(options)
     , random_(seed)
     , sent_(options.started)
-    , believe_from_(options.started)
+    , view_valid_from_(options.started)
     , backoff_until_(options.started)
 {
 }
@@ -71,7 +71,7 @@
     }
     wanted_ = std::move(wanted);
     std::erase_if(replicas_, [&](const auto& known) { return !concerns(known.first); });
-    load_turn_.reset();
+    load_not_before_.reset();
     waiting_since_.reset();
     failures_ = 0;
     backoff_until_ = now;
@@ -93,9 +93,10 @@
     if (!wanted_ || view.fence <= fence_) {
         return;
     }
-    // A higher number after an order of ours was given by a later sidecar: this one is over. Before our first
-    // order it is a predecessor's, whose start number was higher because a clock was wrong; it is waited out
-    // like any predecessor, and then outbid. A newer bundle's number is never outbid: ours has to come first.
+    // A higher number after this sidecar's first order belongs to a later sidecar, so this one is superseded.
+    // Before its first order it belongs to a predecessor whose start number was higher because of a wrong
+    // clock: after the wait for the predecessor's lease, this sidecar uses a higher number. The number of a
+    // newer bundle is never exceeded; this sidecar must receive that bundle first.
     superseded_ = superseded_ || ordered_;
     if (!superseded_ && version_of(view.fence) <= wanted_->version.value()) {
         fence_ = fencing_number(view.fence.value() + 1);
@@ -119,7 +120,7 @@
 auto order_tracker::fresh_view(instant now, const model_id& model) const -> std::optional<replica_view>
 {
     const auto known = replicas_.find(model);
-    const bool fresh = known != replicas_.end() && now - known->second.seen <= options_.longest_view_age;
+    const bool fresh = known != replicas_.end() && now - known->second.seen <= options_.max_view_age;
     return fresh ? std::optional(known->second) : std::nullopt;
 }
 
@@ -128,7 +129,7 @@
     return own_lease_ && now < *own_lease_;
 }
 
-auto order_tracker::hindered(instant now) -> std::optional<order_wait>
+auto order_tracker::blocking_reason(instant now) -> std::optional<order_wait>
 {
     if (!wanted_) {
         return order_wait::no_bundle;
@@ -142,14 +143,14 @@
     if (guard_holds(guard::fencing) && !holds_own_lease(now)) {
         return order_wait::no_own_lease;
     }
-    if (on_its_way_ && now - sent_ < options_.answer_timeout) {
+    if (in_flight_ && now - sent_ < options_.answer_timeout) {
         return order_wait::answer;
     }
-    if (on_its_way_) {
+    if (in_flight_) {
         answered(now, order_result::failed);
     }
-    // After an order, done or not, only a look taken later tells what the engine is now.
-    if (!view_ || view_->asked < believe_from_) {
+    // After an order, successful or not, only a state requested later is current.
+    if (!view_ || view_->asked < view_valid_from_) {
         return order_wait::no_view;
     }
     if (version_of(view_->fence) > wanted_->version.value()) {
@@ -160,7 +161,7 @@
 
 auto order_tracker::next(instant now) -> order_step
 {
-    if (const auto reason = hindered(now)) {
+    if (const auto reason = blocking_reason(now)) {
         return *reason;
     }
     const auto order = difference();
@@ -169,10 +170,10 @@
     }
     std::optional<order_wait> reason;
     if (order->kind == order_kind::load_model) {
-        reason = load_hindered(now, order->model);
+        reason = load_blocking_reason(now, order->model);
     }
     if (order->kind == order_kind::unload_model) {
-        reason = unload_hindered(now, order->model);
+        reason = unload_blocking_reason(now, order->model);
     }
     if (reason) {
         return *reason;
@@ -189,18 +190,18 @@
         order.role = *wanted_->role;
         return order;
     }
-    // Models that are wanted no more go first: their memory is needed for the new ones.
-    if (const auto model = first_missing(view_->models, wanted_->models)) {
+    // Models that are no longer declared are unloaded first, because the new ones need their memory.
+    if (const auto model = first_not_in(view_->models, wanted_->models)) {
         order.kind = order_kind::unload_model;
         order.model = *model;
         return order;
     }
-    if (const auto model = first_missing(wanted_->models, view_->models)) {
+    if (const auto model = first_not_in(wanted_->models, view_->models)) {
         order.kind = order_kind::load_model;
         order.model = *model;
         return order;
     }
-    if (const auto adapter = first_missing(wanted_->adapters, view_->adapters)) {
+    if (const auto adapter = first_not_in(wanted_->adapters, view_->adapters)) {
         order.kind = order_kind::load_adapter;
         order.adapter = *adapter;
         return order;
@@ -208,44 +209,44 @@
     return std::nullopt;
 }
 
-auto order_tracker::load_hindered(instant now, const model_id& model) -> std::optional<order_wait>
+auto order_tracker::load_blocking_reason(instant now, const model_id& model) -> std::optional<order_wait>
 {
     waiting_since_ = waiting_since_.value_or(now);
-    if (!load_turn_) {
+    if (!load_not_before_) {
         const auto spread = static_cast<std::uint64_t>(options_.load_jitter.count());
-        load_turn_ = now + duration(static_cast<duration::rep>(random_.below(spread + 1)));
+        load_not_before_ = now + duration(static_cast<duration::rep>(random_.below(spread + 1)));
     }
-    if (now < *load_turn_) {
+    if (now < *load_not_before_) {
         return order_wait::spread;
     }
     const auto view = fresh_view(now, model);
-    const bool patient = now - *waiting_since_ < options_.keeper_patience;
+    const bool may_wait = now - *waiting_since_ < options_.last_replica_wait;
     if (!view) {
-        return patient ? std::optional(order_wait::others_loading) : std::nullopt;
+        return may_wait ? std::optional(order_wait::others_loading) : std::nullopt;
     }
     if (view->configured <= 1) {
         return std::nullopt;
     }
-    const auto share = static_cast<std::uint32_t>(options_.loading_share * view->configured);
+    const auto share = static_cast<std::uint32_t>(options_.max_loading_fraction * view->configured);
     const bool too_many = view->loading_others + 1 > std::max(1U, share);
-    // Guarded failure: views lag, all replicas see that none is loading, and all load at once. The one that
-    // loads last waits until another is ready, whatever the views say.
-    const bool waits_for_another = view->last_to_load && view->ready_others == 0 && patient;
-    if (too_many || waits_for_another) {
+    // Guards against all replicas loading at once because their views lag and show none loading: the replica
+    // that loads last waits until another is ready, regardless of the views.
+    const bool must_wait_for_another = view->last_to_load && view->ready_others == 0 && may_wait;
+    if (too_many || must_wait_for_another) {
         return order_wait::others_loading;
     }
     return std::nullopt;
 }
 
-auto order_tracker::unload_hindered(instant now, const model_id& model) -> std::optional<order_wait>
+auto order_tracker::unload_blocking_reason(instant now, const model_id& model) -> std::optional<order_wait>
 {
     waiting_since_ = waiting_since_.value_or(now);
-    // Still wanted elsewhere: not before another replica can take its requests. Without word from the others
-    // it is kept for a while, since that costs memory only.
+    // A model that is still declared elsewhere is unloaded only when another replica can serve its requests.
+    // Without state from the others it is kept for `last_replica_wait`, which costs only memory.
     const auto view = fresh_view(now, model);
-    const bool patient = now - *waiting_since_ < options_.keeper_patience;
+    const bool may_wait = now - *waiting_since_ < options_.last_replica_wait;
     const bool covered = view && (view->configured == 0 || view->ready_others > 0);
-    return !covered && patient ? std::optional(order_wait::others_loading) : std::nullopt;
+    return !covered && may_wait ? std::optional(order_wait::others_loading) : std::nullopt;
 }
 
 auto order_tracker::sending(instant now, const engine_order& order) -> bool
@@ -255,8 +256,8 @@
         return false;
     }
     DRAGONFLYMILL_ASSERT(!guard_holds(guard::fencing) || holds_own_lease(now),
-                         "an order needs the own live lease");
-    on_its_way_ = order;
+                         "an order requires a live lease");
+    in_flight_ = order;
     sent_ = now;
     ordered_ = true;
     return true;
@@ -264,12 +265,12 @@
 
 void order_tracker::answered(instant now, order_result how)
 {
-    if (!on_its_way_) {
+    if (!in_flight_) {
         return;
     }
-    on_its_way_.reset();
-    believe_from_ = now + options_.reread_delay;
-    load_turn_.reset();
+    in_flight_.reset();
+    view_valid_from_ = now + options_.reread_delay;
+    load_not_before_.reset();
     if (how == order_result::done) {
         failures_ = 0;
         waiting_since_.reset();
--- a/src/stream/stream_joiner.cpp
+++ b/src/stream/stream_joiner.cpp
@@ -39,8 +39,8 @@
         return {drop_chunk{*reason}};
     }
     const auto size = static_cast<token_offset>(chunk.tokens.size());
-    // Guards against tokens that come doubled, late or out of order: the caller would read a word twice or
-    // miss one. It holds because a token goes out only when its place is the number of tokens already out.
+    // Guards against duplicate, late or reordered tokens, by which the caller would receive a token twice or
+    // miss one: a token is delivered only when its offset equals the number of delivered tokens.
     if (!guard_holds(guard::stream_offset)) {
         delivered_ += size;
         return {deliver_tokens{chunk.offset, chunk.tokens}};
@@ -50,14 +50,14 @@
     }
     std::vector<stream_output> outputs;
     const bool beyond_gap = chunk.offset > delivered_;
-    if (beyond_gap && held_tokens_ + chunk.tokens.size() > settings_.max_gap_tokens) {
+    if (beyond_gap && buffered_tokens_ + chunk.tokens.size() > settings_.max_gap_tokens) {
         resume(outputs);
         return outputs;
     }
-    hold(chunk);
-    deliver_held(outputs);
-    finish_if_whole(outputs);
-    note_gap(now);
+    buffer(chunk);
+    deliver_buffered(outputs);
+    finish_if_complete(outputs);
+    track_gap(now);
     return outputs;
 }
 
@@ -73,8 +73,8 @@
         return outputs;
     }
     end_ = end;
-    finish_if_whole(outputs);
-    note_gap(now);
+    finish_if_complete(outputs);
+    track_gap(now);
     return outputs;
 }
 
@@ -100,8 +100,8 @@
 
 void stream_joiner::switch_attempt()
 {
-    held_.clear();
-    held_tokens_ = 0;
+    buffered_.clear();
+    buffered_tokens_ = 0;
     end_.reset();
     gap_since_.reset();
     first_ = attempt_number(first_.value() + 1);
@@ -140,49 +140,49 @@
     return attempt > attempt_ ? std::optional(drop_reason::unknown_attempt) : std::nullopt;
 }
 
-void stream_joiner::hold(const stream_chunk& chunk)
+void stream_joiner::buffer(const stream_chunk& chunk)
 {
-    auto& place = held_[chunk.offset];
-    if (place.size() < chunk.tokens.size()) {
-        held_tokens_ += chunk.tokens.size() - place.size();
-        place = chunk.tokens;
+    auto& slot = buffered_[chunk.offset];
+    if (slot.size() < chunk.tokens.size()) {
+        buffered_tokens_ += chunk.tokens.size() - slot.size();
+        slot = chunk.tokens;
     }
 }
 
-void stream_joiner::deliver_held(std::vector<stream_output>& outputs)
+void stream_joiner::deliver_buffered(std::vector<stream_output>& outputs)
 {
-    while (!held_.empty() && held_.begin()->first <= delivered_) {
-        auto node = held_.extract(held_.begin());
+    while (!buffered_.empty() && buffered_.begin()->first <= delivered_) {
+        auto node = buffered_.extract(buffered_.begin());
         auto& tokens = node.mapped();
-        held_tokens_ -= tokens.size();
-        const token_offset known = delivered_ - node.key();
-        if (known >= static_cast<token_offset>(tokens.size())) {
+        buffered_tokens_ -= tokens.size();
+        const token_offset delivered_part = delivered_ - node.key();
+        if (delivered_part >= static_cast<token_offset>(tokens.size())) {
             continue;
         }
-        const auto fresh = std::next(tokens.begin(), known);
+        const auto first_new = std::next(tokens.begin(), delivered_part);
         deliver_tokens next{delivered_,
-                            {std::make_move_iterator(fresh), std::make_move_iterator(tokens.end())}};
+                            {std::make_move_iterator(first_new), std::make_move_iterator(tokens.end())}};
         delivered_ += static_cast<token_offset>(next.tokens.size());
         outputs.emplace_back(std::move(next));
     }
-    DRAGONFLYMILL_ASSERT(held_.empty() || held_.begin()->first > delivered_,
-                         "a token in order must not wait");
+    DRAGONFLYMILL_ASSERT(buffered_.empty() || buffered_.begin()->first > delivered_,
+                         "the next token must not stay buffered");
 }
 
-void stream_joiner::finish_if_whole(std::vector<stream_output>& outputs)
+void stream_joiner::finish_if_complete(std::vector<stream_output>& outputs)
 {
     if (!end_ || ended_ || delivered_ < end_->tokens) {
         return;
     }
     ended_ = true;
-    held_.clear();
-    held_tokens_ = 0;
+    buffered_.clear();
+    buffered_tokens_ = 0;
     outputs.emplace_back(finish_stream{delivered_, end_->finish_reason});
 }
 
-void stream_joiner::note_gap(instant now)
+void stream_joiner::track_gap(instant now)
 {
-    const bool open = !ended_ && (!held_.empty() || end_);
+    const bool open = !ended_ && (!buffered_.empty() || end_);
     if (!open) {
         gap_since_.reset();
     }
@@ -193,8 +193,8 @@
 
 void stream_joiner::resume(std::vector<stream_output>& outputs)
 {
-    held_.clear();
-    held_tokens_ = 0;
+    buffered_.clear();
+    buffered_tokens_ = 0;
     end_.reset();
     gap_since_.reset();
     if (attempt_.value() + 1 >= first_.value() + settings_.max_attempts) {
@@ -209,8 +209,8 @@
 void stream_joiner::fail(std::vector<stream_output>& outputs, refusal why)
 {
     ended_ = true;
-    held_.clear();
-    held_tokens_ = 0;
+    buffered_.clear();
+    buffered_tokens_ = 0;
     gap_since_.reset();
     outputs.emplace_back(fail_stream{std::move(why)});
 }
--- a/tests/once/message_bag_test.cpp
+++ b/tests/once/message_bag_test.cpp
@@ -22,13 +22,13 @@
 
 } // namespace
 
-Test(message_bag, same_seed_same_deliveries)
+Test(message_bag, the_same_seed_gives_the_same_deliveries)
 {
     cr_assert(deliveries(7) == deliveries(7));
     cr_assert(deliveries(7) != deliveries(8));
 }
 
-Test(message_bag, nothing_arrives_early_and_messages_to_a_paused_part_stay)
+Test(message_bag, delivers_no_message_early_and_keeps_messages_to_a_paused_receiver)
 {
     message_bag<int> bag(1, {.min_delay = 1ms, .max_delay = 1ms});
     bag.send(instant(0us), 1);
@@ -38,7 +38,7 @@
     cr_assert(bag.take(instant(1ms)) == 1);
 }
 
-Test(message_bag, a_drop_of_one_is_a_partition)
+Test(message_bag, drops_all_messages_at_a_drop_rate_of_one)
 {
     message_bag<int> bag(1, {.drop = 1.0});
     bag.send(instant(0us), 1);
--- a/tests/once/once_faults_test.cpp
+++ b/tests/once/once_faults_test.cpp
@@ -14,8 +14,8 @@
 
 FAULT_CELL(ticket_issue, message_lost)
 {
-    // The answer with the ticket is lost and the gateway asks for another. Two tickets exist; the caller
-    // uses one, the other is never submitted and dies by itself. Nothing is held for it for long.
+    // The response with the ticket is lost and the gateway requests another one. The unused ticket expires at
+    // the end of its submit timeout, so its reservation is held only briefly.
     once_ledger ledger(ledger_options(1));
     const std::string lost = mint(ledger, at(0s));
     cr_assert(send(ledger, at(1s), by_ticket(mint(ledger, at(1s)))));
@@ -25,8 +25,8 @@
 
 FAULT_CELL(ticket_issue, message_late)
 {
-    // The ticket reaches the caller after its time to submit is over. The late submission runs nothing and
-    // is told so: the caller can take a new ticket without risk.
+    // The ticket reaches the caller after its submit timeout. The late submission is reported as not run, so
+    // the caller can safely request a new ticket.
     once_ledger ledger(ledger_options(1));
     const once_call call = by_ticket(mint(ledger, at(0s)));
     cr_assert(ledger.submit(at(31s), call) == once_outcome(once_not_run{}));
@@ -35,20 +35,20 @@
 
 FAULT_CELL(ticket_issue, process_dies)
 {
-    // The sidecar that minted the ticket dies before it is used. Its successor can't know whether the ticket
-    // was run, so it says unknown and never runs it.
+    // The sidecar that minted the ticket crashes before it is used. Its successor cannot know whether the
+    // call ran, so it reports unknown and never runs it.
     once_ledger old(ledger_options(1));
     const once_call call = by_ticket(mint(old, at(0s)));
     once_ledger successor(ledger_options(2, 5s));
     successor.renew_own_lease(at(1'000s));
     cr_assert(successor.submit(at(6s), call) == unknown(unknown_reason::other_incarnation));
-    cr_assert(successor.void_call(at(700s), call) == unknown(unknown_reason::other_incarnation));
+    cr_assert(successor.revoke_call(at(700s), call) == unknown(unknown_reason::other_incarnation));
 }
 
 FAULT_CELL(ticket_send, process_dies)
 {
-    // A household books logs; the gateway dies after sending, and the retry comes through another gateway.
-    // It joins the running call and gets its answer: one van drives up the track.
+    // The gateway crashes after sending a call, and the retry arrives through another gateway. It must join
+    // the running call and receive its answer instead of running it again.
     once_ledger ledger(ledger_options(1));
     const once_call call = by_ticket(mint(ledger, at(0s)));
     const call_serial serial = run_serial(ledger.submit(at(1s), call));
@@ -60,8 +60,8 @@
 
 FAULT_CELL_MORE(ticket_send, process_dies, sidecar_with_a_callers_key)
 {
-    // The sidecar restarts with an empty memory while the caller's retry is on its way. The key may have run
-    // at the old start, so it is not run again; a key made after the restart is.
+    // The sidecar restarts and loses its ledger while the caller's retry is in flight. The predecessor may
+    // have run the key, so it is not run again; a key made after the restart is run.
     once_ledger successor(ledger_options(2, 100s));
     successor.renew_own_lease(at(2'000s));
     cr_assert(successor.submit(at(130s), by_key(timed_key(99s, 1))) ==
@@ -73,21 +73,22 @@
 
 FAULT_CELL(ticket_send, paused_wakes_late)
 {
-    // The sidecar is paused just before the first byte. Its successor has started, and the caller has been
-    // through another gateway. The old one wakes: for a key it looks at its lease again and sends nothing.
+    // The sidecar is paused just before the first byte; meanwhile its successor starts and the caller retries
+    // through another gateway. When the old sidecar resumes, it must check its lease again and not send the
+    // key.
     once_ledger old(ledger_options(1));
     old.renew_own_lease(at(103s));
     const call_serial serial = run_serial(old.submit(at(100s), by_key(timed_key(99s, 1))));
     cr_assert(serial != call_serial());
-    cr_assert(!old.sending(at(700s), serial), "the old sidecar sends beside its successor");
-    cr_assert(!old.withdraw(at(700s), serial), "it can't tell any more whether the key has run");
+    cr_assert(!old.sending(at(700s), serial), "the old sidecar sends a call that its successor may have run");
+    cr_assert(!old.withdraw(at(700s), serial), "without a lease it is unknown whether the key has run");
     cr_assert(old.status(at(701s), by_key(timed_key(99s, 1))) == unknown(unknown_reason::broken));
 }
 
 FAULT_CELL_MORE(ticket_send, paused_wakes_late, old_sidecar_with_a_new_key)
 {
-    // An old sidecar wakes beside its successor, and a gateway with an old connection gives it a call that
-    // the successor may have run already. It has no lease any more and says unknown.
+    // An old sidecar resumes beside its successor and receives over an old connection a call that the
+    // successor may have run. Its lease has expired, so it reports unknown.
     once_ledger old(ledger_options(1));
     old.renew_own_lease(at(103s));
     cr_assert(old.submit(at(200s), by_key(timed_key(199s, 1))) == unknown(unknown_reason::no_lease));
@@ -95,31 +96,32 @@
 
 FAULT_CELL(ticket_send, message_doubled)
 {
-    // The submission arrives twice, and the second copy while the first is being sent. One booking.
+    // The submission is duplicated and the second copy arrives while the first is being sent. The call is
+    // sent once.
     once_ledger ledger(ledger_options(1));
     ledger.renew_own_lease(at(1'000s));
     const once_call ticket = by_ticket(mint(ledger, at(60s)));
     const once_call key = by_key(timed_key(60s, 1));
     cr_assert(send(ledger, at(61s), ticket));
-    cr_assert(!send(ledger, at(61s), ticket), "the pigment is reserved twice");
+    cr_assert(!send(ledger, at(61s), ticket), "the call is sent twice");
     cr_assert(send(ledger, at(61s), key));
-    cr_assert(!send(ledger, at(61s), key), "the pigment is reserved twice");
+    cr_assert(!send(ledger, at(61s), key), "the call is sent twice");
 }
 
 FAULT_CELL(ticket_send, message_lost)
 {
-    // The submission is lost before the sidecar. The caller asks to have it voided, is told that it was not
-    // run, and that stays true although the caller's gateway sends it once more.
+    // The submission is lost on the way to the sidecar. The caller revokes the call and receives not run;
+    // that must stay true although the gateway submits the call again.
     once_ledger ledger(ledger_options(1));
     const once_call call = by_ticket(mint(ledger, at(0s)));
-    cr_assert(ledger.void_call(at(5s), call) == once_outcome(once_not_run{}));
-    cr_assert(!send(ledger, at(6s), call), "run after it was said that it never will be");
+    cr_assert(ledger.revoke_call(at(5s), call) == once_outcome(once_not_run{}));
+    cr_assert(!send(ledger, at(6s), call), "run after it was reported as not run");
 }
 
 FAULT_CELL(ticket_send, message_late)
 {
-    // A slow copy of the submission arrives long after the call was answered and forgotten. By ticket and by
-    // a key with a time in it that runs nothing.
+    // A delayed copy of the submission arrives after the call was answered and its entry expired. Neither a
+    // ticket nor a key with a timestamp is run again.
     once_ledger ledger(ledger_options(1));
     ledger.renew_own_lease(at(10'000s));
     const once_call ticket = by_ticket(mint(ledger, at(60s)));
@@ -137,25 +139,25 @@
 
 FAULT_CELL(ticket_send, message_reordered)
 {
-    // The caller's wish to void overtakes the submission. The submission then finds a dead ticket.
+    // The revocation overtakes the submission, which then finds a revoked key.
     once_ledger ledger(ledger_options(1));
     ledger.renew_own_lease(at(1'000s));
     const once_call call = by_key(timed_key(60s, 1));
-    cr_assert(ledger.void_call(at(61s), call) == once_outcome(once_not_run{}));
+    cr_assert(ledger.revoke_call(at(61s), call) == once_outcome(once_not_run{}));
     cr_assert(!send(ledger, at(62s), call));
 }
 
 FAULT_CELL(ticket_send, partition)
 {
-    // A gateway is cut off from the key's home and the caller goes to another gateway. The home is chosen
-    // among configured upstreams, not reachable ones: both gateways name the same, so no second home runs it.
+    // A gateway is partitioned from the key's home and the caller retries at another gateway. The home is
+    // selected among configured rather than reachable upstreams, so both gateways select the same one.
     const std::vector<upstream_id> configured{upstream_id("b1"), upstream_id("b2"), upstream_id("b3")};
-    std::vector<upstream_id> turned(configured.rbegin(), configured.rend());
+    std::vector<upstream_id> reversed(configured.rbegin(), configured.rend());
     for (std::uint64_t i = 0; i < 100; ++i) {
         const std::uint64_t key = home_hash(slots, client_account_id("a"), std::to_string(i));
-        cr_assert(home_of(key, configured) == home_of(key, turned));
+        cr_assert(home_of(key, configured) == home_of(key, reversed));
     }
-    // The upstream that is not the home refuses to run it, whoever asks.
+    // An upstream that is not the home never runs the key.
     once_ledger ledger(ledger_options(1));
     ledger.renew_own_lease(at(1'000s));
     once_call call = by_key(timed_key(60s, 1));
@@ -165,8 +167,8 @@
 
 FAULT_CELL(ticket_send, config_stale)
 {
-    // The bundle adds an upstream between a caller's two tries and the key's home moves. The new home has
-    // never heard of the key; it says unknown, since the old home may have run it.
+    // The bundle adds an upstream between two attempts of a caller, and the key's home moves. The new home
+    // has no record of the key and reports unknown, because the old home may have run it.
     key_home homes({.self = upstream_id("b4")});
     homes.adopt(at(0s), slots, {upstream_id("b1"), upstream_id("b2")});
     homes.adopt(at(300s), slots, {upstream_id("b1"), upstream_id("b2"), upstream_id("b4")});
@@ -189,8 +191,8 @@
 
 FAULT_CELL(ticket_send, clock_jump)
 {
-    // A caller's clock runs an hour ahead, and its keys look as if made in the future. They are treated like
-    // keys without a time, so that one made before a restart doesn't pass for new.
+    // A caller's clock is an hour ahead, so its keys have timestamps in the future. They are treated like
+    // keys without a timestamp; otherwise a key made before a restart would be treated as new.
     once_ledger successor(ledger_options(2, 100s));
     successor.renew_own_lease(at(5'000s));
     cr_assert(successor.submit(at(130s), by_key(timed_key(3'700s, 1))) ==
@@ -199,8 +201,8 @@
 
 FAULT_CELL(ticket_send, connection_silent)
 {
-    // The connection to the service goes silent after the first byte. Nobody knows whether the booking was
-    // made; it is told as unknown and never sent again, until a late answer settles it.
+    // The service stops responding after the first byte. It is unknown whether the call ran, so it is never
+    // sent again; a late answer determines its outcome.
     once_ledger ledger(ledger_options(1));
     const once_call call = by_ticket(mint(ledger, at(0s)));
     const call_serial serial = run_serial(ledger.submit(at(1s), call));
@@ -214,7 +216,7 @@
 
 FAULT_CELL(ticket_answer, message_lost)
 {
-    // The answer is lost between sidecar and gateway, the caller tries again and gets the same answer.
+    // The answer is lost between the sidecar and the gateway. The caller's retry receives the same answer.
     once_ledger ledger(ledger_options(1));
     ledger.renew_own_lease(at(1'000s));
     const once_call call = by_key(timed_key(60s, 1));
@@ -227,8 +229,8 @@
 
 FAULT_CELL(ticket_answer, process_dies)
 {
-    // The sidecar dies after the service answered and before the caller has it. The successor says unknown
-    // for the ticket and for the key, and never books again.
+    // The sidecar crashes after the service answered and before the caller receives the answer. The successor
+    // must run neither the ticket nor the key again.
     once_ledger old(ledger_options(1));
     old.renew_own_lease(at(100s));
     const once_call ticket = by_ticket(mint(old, at(60s)));
@@ -237,14 +239,14 @@
     once_ledger successor(ledger_options(2, 62s));
     successor.renew_own_lease(at(5'000s));
     for (const duration later : {70s, 100s, 600s, 900s}) {
-        cr_assert(!send(successor, at(later), ticket), "a second van");
-        cr_assert(!send(successor, at(later), key), "a second van");
+        cr_assert(!send(successor, at(later), ticket), "the call runs twice");
+        cr_assert(!send(successor, at(later), key), "the call runs twice");
     }
 }
 
 FAULT_CELL(ticket_answer, same_twice)
 {
-    // The sidecar restarts twice while a caller retries. Neither successor runs the call.
+    // The sidecar restarts twice while a caller retries. Neither successor runs the call again.
     once_ledger first(ledger_options(1));
     first.renew_own_lease(at(100s));
     const once_call key = by_key(timed_key(60s, 1));
@@ -258,22 +260,22 @@
 
 FAULT_CELL(ticket_answer, two_faults)
 {
-    // The service's answer is lost and the gateway that waited for it dies. The retry is told unknown; the
-    // status look-up says the same until the truth is known.
+    // The service's answer is lost and the waiting gateway crashes. Both the retry and a status query report
+    // unknown.
     once_ledger ledger(ledger_options(1));
     const once_call call = by_ticket(mint(ledger, at(0s)));
     const call_serial serial = run_serial(ledger.submit(at(1s), call));
     cr_assert(ledger.sending(at(1s), serial));
     ledger.broken(at(5s), serial);
     cr_assert(ledger.submit(at(6s), call) == unknown(unknown_reason::broken));
-    once_call look = call;
-    look.body.reset();
-    cr_assert(ledger.status(at(7s), look) == unknown(unknown_reason::broken));
+    once_call query = call;
+    query.body.reset();
+    cr_assert(ledger.status(at(7s), query) == unknown(unknown_reason::broken));
 }
 
 FAULT_CELL(ticket_status, process_dies)
 {
-    // The caller asks a restarted sidecar what became of its booking. It never says not run.
+    // The caller queries the status of its call at a restarted sidecar, which must not report not run.
     once_ledger old(ledger_options(1));
     const once_call call = by_ticket(mint(old, at(0s)));
     cr_assert(send(old, at(1s), call));
@@ -284,7 +286,7 @@
 
 FAULT_CELL(ticket_status, message_reordered)
 {
-    // The status look-up overtakes the submission: pending is no promise, and the call runs afterwards.
+    // The status query overtakes the submission. Pending does not exclude that the call runs afterwards.
     once_ledger ledger(ledger_options(1));
     const once_call call = by_ticket(mint(ledger, at(0s)));
     cr_assert(ledger.status(at(1s), call) == once_outcome(once_pending{}));
@@ -293,7 +295,7 @@
 
 FAULT_CELL(ticket_status, message_late)
 {
-    // The look-up comes after the outcome was forgotten: unknown, never not run.
+    // The query arrives after the outcome has expired: unknown, never not run.
     once_ledger ledger(ledger_options(1));
     const once_call call = by_ticket(mint(ledger, at(0s)));
     const call_serial serial = run_serial(ledger.submit(at(1s), call));
@@ -304,8 +306,9 @@
 
 FAULT_CELL_MORE(ticket_status, paused_wakes_late, retry_in_the_socket)
 {
-    // The sidecar is paused until the outcome of a booking is over. The caller's wish to void it, sent in
-    // time, waits in its socket. It must find the booking still remembered, not be told that it never ran.
+    // The sidecar is paused for longer than the outcome of a call is remembered. The caller's revocation,
+    // sent in time, is queued in its socket. It must find the remembered call and not be answered with not
+    // run.
     once_ledger_options options = ledger_options(1);
     options.pause_threshold = 1s;
     options.predecessor_lease = 0s;
@@ -318,13 +321,13 @@
     const call_serial serial = run_serial(ledger.submit(at(601s), call));
     cr_assert(ledger.sending(at(601s), serial));
     ledger.answered(at(601s), serial, booked);
-    cr_assert(ledger.void_call(at(1'300s), call) == once_outcome(once_replay{booked}));
+    cr_assert(ledger.revoke_call(at(1'300s), call) == once_outcome(once_replay{booked}));
 }
 
 FAULT_CELL(ticket_send, two_faults)
 {
-    // The sidecar is replaced while a caller's retry is on its way, and the successor is paused for as long
-    // as outcomes are remembered. On waking it finds the retry in its socket: old as it looks, it is not new.
+    // The sidecar is replaced while a caller's retry is in flight, and the successor is paused for as long as
+    // outcomes are remembered. The retry, queued in its socket during the pause, must not be treated as new.
     once_ledger_options options = ledger_options(2);
     options.pause_threshold = 1s;
     once_ledger successor(options);
@@ -335,7 +338,8 @@
 
 FAULT_CELL(ticket_issue, message_doubled)
 {
-    // The wish for a ticket arrives twice and two are issued. They are two calls; the caller uses one.
+    // The request for a ticket is duplicated and two tickets are minted. They identify two calls; the caller
+    // uses only one.
     once_ledger ledger(ledger_options(1));
     const std::string one = mint(ledger, at(0s));
     const std::string other = mint(ledger, at(0s));
@@ -346,8 +350,8 @@
 
 FAULT_CELL(ticket_issue, paused_wakes_late)
 {
-    // The sidecar is paused for a minute right after it issued a ticket. The caller submitted it in time, and
-    // that waits in the sidecar's socket: it runs, once, when the sidecar wakes.
+    // The sidecar is paused for a minute right after it minted a ticket. The caller submitted it in time, and
+    // the submission is queued in the sidecar's socket: it runs once when the sidecar resumes.
     once_ledger_options options = ledger_options(1);
     options.pause_threshold = 1s;
     once_ledger ledger(options);
@@ -358,8 +362,8 @@
 
 FAULT_CELL(ticket_send, partition_one_way)
 {
-    // Submissions reach the sidecar and nothing comes back. The caller's tries through two gateways join the
-    // one that runs.
+    // Submissions reach the sidecar but responses are lost. The caller's retries through two gateways join
+    // the running call.
     once_ledger ledger(ledger_options(1));
     const once_call call = by_ticket(mint(ledger, at(0s)));
     cr_assert(send(ledger, at(1s), call));
@@ -369,7 +373,7 @@
 
 FAULT_CELL(ticket_answer, message_doubled)
 {
-    // The service's answer is handed over twice. Later tries get the first one, as earlier ones did.
+    // The service's answer is recorded twice. Later attempts receive the first one, as earlier attempts did.
     once_ledger ledger(ledger_options(1));
     const once_call call = by_ticket(mint(ledger, at(0s)));
     const call_serial serial = run_serial(ledger.submit(at(1s), call));
@@ -381,8 +385,8 @@
 
 FAULT_CELL(ticket_answer, message_late)
 {
-    // The service answers after the call was given up and forgotten. The answer is dropped, and the call is
-    // still not run again.
+    // The service answers after the call was abandoned and its entry expired. The answer is dropped, and the
+    // call is not run again.
     once_ledger ledger(ledger_options(1));
     const once_call call = by_ticket(mint(ledger, at(0s)));
     const call_serial serial = run_serial(ledger.submit(at(1s), call));
@@ -395,7 +399,7 @@
 
 FAULT_CELL(ticket_status, message_doubled)
 {
-    // The look-up comes twice. It records nothing, so the call can still be submitted.
+    // The status query is duplicated. It records nothing, so the call can still be submitted.
     once_ledger ledger(ledger_options(1));
     ledger.renew_own_lease(at(1'000s));
     const once_call call = by_key(timed_key(60s, 1));
--- a/tests/once/once_fixture.h
+++ b/tests/once/once_fixture.h
@@ -10,10 +10,10 @@
 
 namespace dragonflymill::test {
 
-/// Civil time at the start of the virtual clock.
+/// Wall clock time at the start of the virtual clock.
 inline constexpr wall_instant wall_start{std::chrono::seconds(1'700'000'000)};
 
-/// An idempotency key made at `made` of the virtual clock, as a UUID of version 7; `number` tells keys apart.
+/// Returns an idempotency key as a version 7 UUID with the virtual time `made`; `number` makes keys distinct.
 inline auto timed_key(duration made, std::uint32_t number) -> std::string
 {
     const wall_instant wall = wall_start + made;
@@ -23,7 +23,7 @@
     return text;
 }
 
-/// Settings of a ledger of the sidecar incarnation `self`, started at `started`.
+/// Returns the options of a ledger of the sidecar incarnation `self`, started at `started`.
 inline auto ledger_options(std::uint64_t self, duration started = 0s) -> once_ledger_options
 {
     once_ledger_options options;
@@ -32,22 +32,22 @@
     options.started = at(started);
     options.started_wall = wall_start + started;
     options.ticket_key = "a key of the tests";
-    options.pause_threshold = 24h; // the clock of most tests jumps
+    options.pause_threshold = 24h; // the virtual clock of most tests advances in large steps
     return options;
 }
 
-/// Whose the tests' calls are.
+/// Returns the owner of all calls in the tests.
 inline auto owner() -> call_owner
 {
     return {route_id("slots"), client_account_id("lacquer-1")};
 }
 
-/// A new ticket's text; empty if the ledger is full.
+/// Mints a ticket and returns its text; empty if the ledger is full.
 inline auto mint(once_ledger& ledger, instant now) -> std::string
 {
     const auto minted = ledger.mint(now, owner());
-    const auto* done = std::get_if<once_minted>(&minted);
-    return done == nullptr ? std::string() : done->text;
+    const auto* ticket = std::get_if<once_minted>(&minted);
+    return ticket == nullptr ? std::string() : ticket->text;
 }
 
 inline auto by_ticket(const std::string& ticket, const std::string& body = "body") -> once_call
@@ -60,14 +60,14 @@
     return {owner(), key_name{key, true, std::nullopt}, digest_of({body})};
 }
 
-/// The serial of a run; 0 if the outcome is not a run.
+/// Returns the serial of a once_run; 0 for any other outcome.
 inline auto run_serial(const once_outcome& outcome) -> call_serial
 {
     const auto* run = std::get_if<once_run>(&outcome);
     return run == nullptr ? call_serial() : run->serial;
 }
 
-/// Submits and sends: the whole way to the first byte. False if it may not be sent.
+/// Submits a call and starts sending it. Returns false if it must not be sent.
 inline auto send(once_ledger& ledger, instant now, const once_call& call) -> bool
 {
     const once_outcome outcome = ledger.submit(now, call);
@@ -81,8 +81,8 @@
 
 inline auto is_error(const once_outcome& outcome, error_kind kind) -> bool
 {
-    const auto* said = std::get_if<error>(&outcome);
-    return said != nullptr && said->kind() == kind;
+    const auto* failure = std::get_if<error>(&outcome);
+    return failure != nullptr && failure->kind() == kind;
 }
 
 } // namespace dragonflymill::test
--- a/tests/once/once_ledger_test.cpp
+++ b/tests/once/once_ledger_test.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-Test(once_ledger, a_ticket_runs_once_and_is_then_replayed)
+Test(once_ledger, runs_a_ticket_once_and_then_replays_its_answer)
 {
     once_ledger ledger(ledger_options(1));
     const once_call call = by_ticket(mint(ledger, at(0s)));
@@ -26,7 +26,7 @@
     cr_assert(ledger.status(at(4s), call) == once_outcome(once_replay{booked}));
 }
 
-Test(once_ledger, a_key_runs_once_the_sidecar_has_its_lease)
+Test(once_ledger, runs_a_key_only_with_a_lease_and_only_once)
 {
     once_ledger ledger(ledger_options(1));
     const once_call call = by_key(timed_key(60s, 1));
@@ -36,7 +36,7 @@
     cr_assert(!send(ledger, at(62s), call));
 }
 
-Test(once_ledger, another_body_under_the_same_name_is_a_conflict)
+Test(once_ledger, rejects_another_body_under_the_same_ticket_or_key_as_a_conflict)
 {
     once_ledger ledger(ledger_options(1));
     ledger.renew_own_lease(at(100s));
@@ -48,7 +48,7 @@
     cr_assert(is_error(ledger.submit(at(62s), by_key(key, "two")), error_kind::conflict));
 }
 
-Test(once_ledger, a_forged_changed_or_borrowed_ticket_runs_nothing)
+Test(once_ledger, rejects_altered_malformed_and_foreign_tickets)
 {
     once_ledger ledger(ledger_options(1));
     const std::string ticket = mint(ledger, at(0s));
@@ -59,34 +59,34 @@
     }
     cr_assert(is_error(ledger.submit(at(1s), by_ticket("")), error_kind::corrupt));
     cr_assert(is_error(ledger.submit(at(1s), by_ticket(std::string(100'000, 'a'))), error_kind::corrupt));
-    once_call borrowed = by_ticket(ticket);
-    borrowed.owner.account = client_account_id("another");
-    cr_assert(is_error(ledger.submit(at(1s), borrowed), error_kind::unauthorized));
+    once_call foreign = by_ticket(ticket);
+    foreign.owner.account = client_account_id("another");
+    cr_assert(is_error(ledger.submit(at(1s), foreign), error_kind::unauthorized));
     cr_assert(send(ledger, at(1s), by_ticket(ticket)));
 }
 
-Test(once_ledger, voided_is_dead_for_good_and_not_run_is_true)
+Test(once_ledger, never_runs_a_revoked_call)
 {
     once_ledger ledger(ledger_options(1));
     const once_call call = by_ticket(mint(ledger, at(0s)));
     cr_assert(ledger.status(at(1s), call) == once_outcome(once_pending{}));
-    cr_assert(ledger.void_call(at(1s), call) == once_outcome(once_not_run{}));
+    cr_assert(ledger.revoke_call(at(1s), call) == once_outcome(once_not_run{}));
     cr_assert(ledger.submit(at(2s), call) == once_outcome(once_not_run{}));
 }
 
-Test(once_ledger, what_was_sent_can_not_be_voided)
+Test(once_ledger, does_not_revoke_a_call_that_was_sent)
 {
     once_ledger ledger(ledger_options(1));
     const once_call call = by_ticket(mint(ledger, at(0s)));
     const call_serial serial = run_serial(ledger.submit(at(1s), call));
     cr_assert(ledger.sending(at(1s), serial));
-    cr_assert(ledger.void_call(at(2s), call) == once_outcome(once_join{serial}));
+    cr_assert(ledger.revoke_call(at(2s), call) == once_outcome(once_join{serial}));
     cr_assert(!ledger.withdraw(at(2s), serial));
     ledger.broken(at(3s), serial);
-    cr_assert(ledger.void_call(at(4s), call) == unknown(unknown_reason::broken));
+    cr_assert(ledger.revoke_call(at(4s), call) == unknown(unknown_reason::broken));
 }
 
-Test(once_ledger, withdrawn_before_sending_is_dead_for_good)
+Test(once_ledger, never_runs_a_call_withdrawn_before_sending)
 {
     once_ledger ledger(ledger_options(1));
     const once_call call = by_ticket(mint(ledger, at(0s)));
@@ -96,7 +96,7 @@
     cr_assert(ledger.submit(at(2s), call) == once_outcome(once_not_run{}));
 }
 
-Test(once_ledger, when_full_it_refuses_and_forgets_nothing)
+Test(once_ledger, refuses_new_calls_and_evicts_nothing_when_full)
 {
     once_ledger_options options = ledger_options(1);
     options.max_calls = 2;
@@ -112,7 +112,7 @@
     cr_assert(!send(ledger, at(20s), first));
 }
 
-Test(once_ledger, bytes_stay_bounded_and_long_answers_lose_their_body)
+Test(once_ledger, bounds_its_bytes_and_drops_the_body_of_large_answers)
 {
     once_ledger_options options = ledger_options(1);
     options.max_bytes = 100'000;
@@ -133,7 +133,7 @@
     cr_assert(ledger.bytes() == 0);
 }
 
-Test(uuid_time, version_7_tells_its_time_and_nothing_else_does)
+Test(uuid_time, returns_the_time_of_version_7_uuids_only)
 {
     cr_assert(uuid_v7_time(timed_key(90s, 3)) == wall_start + 90s);
     cr_assert(!uuid_v7_time("018bcfe5-6800-4000-8000-000000000000"), "version 4");
@@ -142,7 +142,7 @@
     cr_assert(!uuid_v7_time("order 17"));
 }
 
-Test(key_home, only_keys_that_moved_here_are_in_doubt)
+Test(key_home, reports_another_home_until_propagation_only_for_moved_keys)
 {
     const route_id route("slots");
     key_home home({.self = upstream_id("b1")});
@@ -163,7 +163,7 @@
     cr_assert(moved > 20 && stayed > 60);
 }
 
-Test(key_home, views_are_bounded_and_what_falls_out_counts_as_a_move)
+Test(key_home, bounds_its_views_and_treats_a_dropped_view_as_a_move_of_every_key)
 {
     const route_id route("slots");
     key_home home({.self = upstream_id("b1"), .max_views = 2});
--- a/tests/once/once_schedule_test.cpp
+++ b/tests/once/once_schedule_test.cpp
@@ -13,19 +13,22 @@
 using namespace dragonflymill;
 using namespace dragonflymill::test;
 
-// Callers, two gateways' worth of retries, a sidecar with its successors, and the service, with a bag between
-// them. Drawn by seed: lost, late, doubled and reordered messages, pauses, restarts, and starts beside a
-// paused predecessor. Checked: no call is executed twice, and nothing said to be not run is ever executed.
+// Simulates callers that retry through gateways, a sidecar with its successors, and the service, connected by
+// a message bag. The seed determines lost, late, duplicated and reordered messages, pauses, restarts, and
+// starts beside a paused predecessor. Checks that no call is executed twice and that no call reported as not
+// run is ever executed.
 
 namespace {
 
 constexpr std::uint64_t seeds = 500;
-// Seed 2190: a sidecar paused until an outcome was over found a wish to void in its socket and said not run.
-// Seed 15658: a successor paused for as long as outcomes are remembered ran a retry that had waited in its
+// Seed 2190: a sidecar paused until an outcome had expired found a revocation queued in its socket and
+// reported not run.
+//
+// Seed 15658: a successor paused for as long as outcomes are remembered ran a retry that was queued in its
 // socket.
 constexpr std::initializer_list<std::uint64_t> seeds_that_found_faults = {2190, 15658};
 constexpr std::uint32_t calls = 12;
-constexpr std::uint32_t tries_of_each = 5;
+constexpr std::uint32_t attempts_per_call = 5;
 constexpr duration length = 240s;
 constexpr duration step = 100ms;
 constexpr duration remembered = 60s;
@@ -33,7 +36,7 @@
 enum class message_kind
 {
     submit,  ///< Gateway to sidecar.
-    voiding, ///< Gateway to sidecar.
+    revoke,  ///< Gateway to sidecar.
     execute, ///< Sidecar to service.
     result,  ///< Service to sidecar.
 };
@@ -68,10 +71,10 @@
     once_call call;
     bool by_ticket = false;
     std::size_t issuer = 0;
-    instant next_try;
-    std::uint32_t tries = 0;
+    instant next_attempt_at;
+    std::uint32_t attempts = 0;
     std::uint32_t executions = 0;
-    bool said_not_run = false;
+    bool reported_not_run = false;
 };
 
 class schedule
@@ -84,34 +87,35 @@
         start_sidecar(instant());
         for (std::uint32_t i = 0; i < calls; ++i) {
             planned_call planned;
-            planned.next_try = instant(duration(random_.below(static_cast<std::uint64_t>(120'000'000))));
+            planned.next_attempt_at =
+                instant(duration(random_.below(static_cast<std::uint64_t>(120'000'000))));
             planned_.push_back(planned);
         }
     }
 
-    /// What was broken, if anything.
+    /// Returns the violated invariant, if any.
     auto run() -> std::optional<std::string>
     {
         for (instant now{}; now < instant(length); now += step) {
-            disturb(now);
+            inject_faults(now);
             for (std::size_t i = 0; i < sidecars_.size(); ++i) {
                 work(now, i);
             }
             for (std::uint32_t i = 0; i < calls; ++i) {
-                try_call(now, i);
+                attempt_call(now, i);
             }
             deliver(now);
-            if (broken_) {
-                return broken_;
+            if (violation_) {
+                return violation_;
             }
         }
         return std::nullopt;
     }
 
-    /// Hash of every outcome, to compare runs.
+    /// Hash of all outcomes, to compare runs.
     [[nodiscard]] auto trace() const -> std::uint64_t { return trace_; }
 
-    /// Calls that were executed.
+    /// Number of executions of all calls.
     [[nodiscard]] auto executions() const -> std::uint32_t
     {
         std::uint32_t count = 0;
@@ -140,13 +144,13 @@
         bound_ = sidecars_.size() - 1;
     }
 
-    void disturb(instant now)
+    void inject_faults(instant now)
     {
         if (random_.chance(0.002)) {
             sidecars_[bound_]->paused_until = now + duration(random_.below(90'000'000));
         }
         if (random_.chance(0.002) && sidecars_.size() < 6) {
-            // The predecessor either dies or stays beside its successor, maybe paused.
+            // The predecessor either crashes or stays beside its successor, possibly paused.
             sidecars_[bound_]->alive = random_.chance(0.6);
             start_sidecar(now);
         }
@@ -184,7 +188,7 @@
                 continue;
             }
             if (random_.chance(0.1)) {
-                note_not_run(call, self.ledger.withdraw(now, item->first));
+                record_not_run(call, self.ledger.withdraw(now, item->first));
             }
             else if (self.ledger.sending(now, item->first)) {
                 bag_.send(now, {message_kind::execute, i, call, item->first, ++sendings_});
@@ -194,22 +198,22 @@
         }
     }
 
-    void try_call(instant now, std::uint32_t i)
+    void attempt_call(instant now, std::uint32_t i)
     {
         planned_call& planned = planned_[i];
-        if (planned.next_try > now || planned.tries >= tries_of_each) {
+        if (planned.next_attempt_at > now || planned.attempts >= attempts_per_call) {
             return;
         }
-        if (planned.tries == 0 && !prepare(now, planned, i)) {
-            planned.next_try = now + 1s;
+        if (planned.attempts == 0 && !prepare(now, planned, i)) {
+            planned.next_attempt_at = now + 1s;
             return;
         }
-        ++planned.tries;
-        planned.next_try = now + 500ms + duration(random_.below(9'000'000));
-        // A gateway reaches the sidecar that has the address, or an older one over an old connection.
+        ++planned.attempts;
+        planned.next_attempt_at = now + 500ms + duration(random_.below(9'000'000));
+        // A gateway reaches the sidecar that is bound to the address, or an older one over an old connection.
         const std::size_t to = random_.chance(0.7) ? bound_ : random_.below(sidecars_.size());
-        const bool voids = planned.tries > 2 && random_.chance(0.2);
-        bag_.send(now, {voids ? message_kind::voiding : message_kind::submit, to, i, {}, 0});
+        const bool revokes = planned.attempts > 2 && random_.chance(0.2);
+        bag_.send(now, {revokes ? message_kind::revoke : message_kind::submit, to, i, {}, 0});
     }
 
     auto prepare(instant now, planned_call& planned, std::uint32_t i) -> bool
@@ -245,13 +249,13 @@
         planned_call& planned = planned_[one.call];
         switch (one.kind) {
         case message_kind::submit:
-        case message_kind::voiding:
+        case message_kind::revoke:
             if (self.alive) {
                 answer(now, one);
             }
             break;
         case message_kind::execute:
-            // One connection delivers each sending at most once; two sendings are the ledger's fault.
+            // A connection delivers each sending at most once; two sendings are a fault of the ledger.
             if (executed_.insert(one.sending).second) {
                 ++planned.executions;
                 check(planned, one.call);
@@ -271,32 +275,32 @@
     {
         sidecar& self = *sidecars_[one.sidecar];
         const once_call& call = planned_[one.call].call;
-        const once_outcome outcome = one.kind == message_kind::voiding ? self.ledger.void_call(now, call)
-                                                                       : self.ledger.submit(now, call);
+        const once_outcome outcome = one.kind == message_kind::revoke ? self.ledger.revoke_call(now, call)
+                                                                      : self.ledger.submit(now, call);
         if (const auto* run = std::get_if<once_run>(&outcome)) {
             self.to_send[run->serial] = {now + duration(random_.below(1'000'000)), one.call};
         }
-        note_not_run(one.call, std::holds_alternative<once_not_run>(outcome));
+        record_not_run(one.call, std::holds_alternative<once_not_run>(outcome));
         trace_ = (trace_ ^ outcome.index() ^ one.call) * 0x100000001b3ULL;
         const bool replayed = std::holds_alternative<once_replay>(outcome);
         if (replayed && planned_[one.call].executions != 1) {
-            broken_ = "call " + std::to_string(one.call) + " was replayed without having run";
+            violation_ = "call " + std::to_string(one.call) + " was replayed without having run";
         }
     }
 
-    void note_not_run(std::uint32_t call, bool said)
+    void record_not_run(std::uint32_t call, bool reported)
     {
-        planned_[call].said_not_run = planned_[call].said_not_run || said;
+        planned_[call].reported_not_run = planned_[call].reported_not_run || reported;
         check(planned_[call], call);
     }
 
     void check(const planned_call& planned, std::uint32_t call)
     {
         if (planned.executions > 1) {
-            broken_ = "call " + std::to_string(call) + " was executed twice";
+            violation_ = "call " + std::to_string(call) + " was executed twice";
         }
-        if (planned.executions > 0 && planned.said_not_run) {
-            broken_ = "call " + std::to_string(call) + " was executed and said to be not run";
+        if (planned.executions > 0 && planned.reported_not_run) {
+            violation_ = "call " + std::to_string(call) + " was executed and reported as not run";
         }
     }
 
@@ -308,29 +312,29 @@
     std::uint64_t sendings_ = 0;
     std::set<std::uint64_t> executed_;
     std::set<std::uint64_t> replied_;
-    std::optional<std::string> broken_;
+    std::optional<std::string> violation_;
     std::uint64_t trace_ = 0;
 };
 
 } // namespace
 
-Test(once_schedule, no_call_runs_twice_and_not_run_is_true)
+Test(once_schedule, executes_no_call_twice_and_none_reported_as_not_run)
 {
     std::uint64_t executed = 0;
     run_schedules(
-        seeds, "test_once", "once_schedule/no_call_runs_twice_and_not_run_is_true",
+        seeds, "test_once", "once_schedule/executes_no_call_twice_and_none_reported_as_not_run",
         [&](auto seed) {
             schedule drawn(seed);
-            auto broken = drawn.run();
+            auto violation = drawn.run();
             executed += drawn.executions();
-            return broken;
+            return violation;
         },
         seeds_that_found_faults);
-    cr_assert(executed > 0, "schedules in which nothing runs show nothing");
+    cr_assert(executed > 0, "no schedule executed a call, so the checks were not exercised");
     std::printf("once_schedule: %llu calls executed\n", static_cast<unsigned long long>(executed));
 }
 
-Test(once_schedule, same_seed_same_outcomes)
+Test(once_schedule, the_same_seed_gives_the_same_outcomes)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         schedule one(seed);
--- a/tests/stream/stream_joiner_test.cpp
+++ b/tests/stream/stream_joiner_test.cpp
@@ -10,11 +10,11 @@
 
 constexpr instant now(1s);
 const request_id mine("mine");
-const refusal caller_left{refusal_code::cancelled, ran_state::unknown, duration::zero(), "none"};
+const refusal caller_disconnected{refusal_code::cancelled, ran_state::unknown, duration::zero(), "none"};
 
-auto token(token_offset place) -> std::string
+auto token(token_offset index) -> std::string
 {
-    return "t" + std::to_string(place);
+    return "t" + std::to_string(index);
 }
 
 auto chunk(std::uint64_t attempt, token_offset offset, std::size_t count) -> stream_chunk
@@ -31,7 +31,7 @@
     return {mine, attempt_number(attempt), tokens, "stop"};
 }
 
-/// A caller that reads what a joiner delivers and checks that it is a prefix of the answer.
+/// Consumes the output of a joiner and checks that it is a prefix of the answer.
 class caller
 {
 public:
@@ -39,9 +39,9 @@
     {
         for (const auto& output : outputs) {
             if (const auto* next = std::get_if<deliver_tokens>(&output)) {
-                cr_assert(next->offset == read_, "no hole and no repeat");
+                cr_assert(next->offset == read_, "no gap and no duplicate");
                 for (const auto& each : next->tokens) {
-                    cr_assert(each == token(read_), "the answer's own token");
+                    cr_assert(each == token(read_), "the token belongs to the answer");
                     ++read_;
                 }
             }
@@ -83,7 +83,7 @@
     cr_assert(dropped_for(joiner.step(now, end_of(1, 5)), drop_reason::ended));
 }
 
-Test(stream_joiner, an_empty_answer_is_whole)
+Test(stream_joiner, finishes_an_empty_answer)
 {
     stream_joiner joiner(mine, attempt_number(1));
     caller reader;
@@ -93,8 +93,8 @@
 
 FAULT_CELL(request_stream, message_doubled)
 {
-    // A caller reads a sentence twice. A chunk comes twice, and one comes that overlaps what was delivered.
-    // Cause: a sender that repeats what it takes for lost.
+    // Guards against delivering tokens twice: a sender repeats a chunk that it considers lost, and a later
+    // chunk overlaps delivered tokens.
     stream_joiner joiner(mine, attempt_number(1));
     caller reader;
     reader.read(joiner.step(now, chunk(1, 0, 3)));
@@ -106,8 +106,8 @@
 
 FAULT_CELL(request_stream, message_reordered)
 {
-    // A caller reads words in the wrong order, or an answer that ends too early. The end overtakes the last
-    // chunk, which overtakes the one before. Cause: two lanes of different speed.
+    // Guards against tokens in the wrong order and a premature end: over two connections of different speed,
+    // the end overtakes the last chunk, which overtakes the one before.
     stream_joiner joiner(mine, attempt_number(1));
     caller reader;
     reader.read(joiner.step(now, end_of(1, 6)));
@@ -120,8 +120,8 @@
 
 FAULT_CELL(request_stream, message_lost)
 {
-    // A caller's answer stops in the middle for good. One chunk is lost and the tokens behind it wait. Cause:
-    // nobody asks for the missing tokens; after the gap's time another try resumes where the caller is.
+    // Guards against an answer that stalls: a chunk is lost and the tokens behind it stay buffered. After
+    // `gap_wait`, another attempt must resume after the delivered tokens.
     stream_joiner joiner(mine, attempt_number(1), {4'096, 2s, 4});
     caller reader;
     reader.read(joiner.step(now, chunk(1, 0, 2)));
@@ -136,19 +136,18 @@
 
 FAULT_CELL_MORE(request_stream, message_lost, bounded_gap)
 {
-    // A gateway's memory grows until it dies, and with it all its callers' answers. One chunk is lost and a
-    // fast engine goes on for a million tokens. Cause: what waits behind a gap is not bounded.
+    // Guards against unbounded memory: a chunk is lost and a fast engine continues for a million tokens, all
+    // of which would be buffered behind the gap until the gateway crashes.
     stream_joiner joiner(mine, attempt_number(1), {100, 2s, 4});
     cr_assert(joiner.step(now, chunk(1, 10, 60)).empty());
     cr_assert(resumes_at(joiner.step(now, chunk(1, 70, 60)), 2, 0));
-    cr_assert(not joiner.next_wake().has_value(), "what waited is gone");
+    cr_assert(not joiner.next_wake().has_value(), "the buffered tokens are discarded");
 }
 
 FAULT_CELL(request_stream, message_late)
 {
-    // A member reads another member's shade formula, or words of a try that was given up. The first try is
-    // lost, the second has begun, then the first try's tokens arrive and one of another request. Cause: late
-    // answers.
+    // Guards against delivering tokens of another caller's request or of an abandoned attempt: the first
+    // attempt is lost and the second has begun when late tokens of the first and of another request arrive.
     stream_joiner joiner(mine, attempt_number(1));
     caller reader;
     reader.read(joiner.step(now, chunk(1, 0, 2)));
@@ -165,8 +164,8 @@
 
 FAULT_CELL(request_resume, process_dies)
 {
-    // A dossier check is lost at three quarters of its answer. Its engine dies; the second try repeats tokens
-    // before the offset it was asked for. Cause: the resume starts from the wrong place.
+    // Guards against duplicates after a resume at the wrong offset: an engine crashes after three quarters of
+    // an answer, and the second attempt repeats tokens before the requested offset.
     stream_joiner joiner(mine, attempt_number(7));
     caller reader;
     reader.read(joiner.step(now, chunk(7, 0, 75)));
@@ -178,8 +177,8 @@
 
 FAULT_CELL(request_resume, same_twice)
 {
-    // A caller waits for ever while its stream is resumed again and again. Every try is lost at once. Cause:
-    // tries without a bound; the caller gets its final answer, and it does not look whole.
+    // Guards against a stream that is resumed forever because every attempt is lost at once. The number of
+    // attempts is limited, and the stream then fails rather than looking complete.
     stream_joiner joiner(mine, attempt_number(1), {4'096, 2s, 3});
     caller reader;
     reader.read(joiner.step(now, chunk(1, 0, 2)));
@@ -191,8 +190,8 @@
 
 FAULT_CELL(request_resume, two_faults)
 {
-    // A caller's answer is cut short, and looks whole. The end has come, a chunk before it is lost, and then
-    // the connection breaks. Cause: the end of the lost try is taken for the end of the next one.
+    // Guards against a truncated answer that looks complete: the end is received, a chunk before it is lost,
+    // and the connection breaks. The end of the lost attempt must not be used for the next one.
     stream_joiner joiner(mine, attempt_number(1));
     caller reader;
     reader.read(joiner.step(now, chunk(1, 0, 2)));
@@ -206,22 +205,21 @@
 
 FAULT_CELL(request_cancel, message_late)
 {
-    // A caller that left is still written to, or a time limit ends a stream twice. The stream is given up,
-    // then its tokens and its end arrive. Cause: work that was under way.
+    // Guards against writing to a disconnected caller and ending a stream twice: tokens and the end that were
+    // in flight arrive after the stream was abandoned.
     stream_joiner joiner(mine, attempt_number(1));
     caller reader;
-    reader.read(joiner.give_up(caller_left));
+    reader.read(joiner.give_up(caller_disconnected));
     cr_assert(reader.failed());
-    cr_assert(joiner.give_up(caller_left).empty());
+    cr_assert(joiner.give_up(caller_disconnected).empty());
     cr_assert(dropped_for(joiner.step(now, chunk(1, 0, 2)), drop_reason::ended));
     cr_assert(dropped_for(joiner.step(now, end_of(1, 2)), drop_reason::ended));
 }
 
 FAULT_CELL(request_stream, two_faults)
 {
-    // Any caller: whatever is lost, late, doubled and out of order over several tries, what it reads is a
-    // prefix of its answer. Fifty seeds of chunks in random order, with losses between them. Cause: any of
-    // the above at once.
+    // Combines lost, late, duplicated and reordered chunks over several attempts: the delivered tokens must
+    // always be a prefix of the answer. Runs fifty seeds of chunks in random order with losses between them.
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
         random_source random(seed);
         stream_joiner joiner(mine, attempt_number(1), {64, 2s, 6});
--- a/tests/time/timer_service_test.cpp
+++ b/tests/time/timer_service_test.cpp
@@ -25,7 +25,7 @@
     return keys;
 }
 
-/// A run of random subscriptions, cancels and advances; the keys that expired, in order.
+/// Runs random subscriptions, cancellations and advances; returns the expired keys in order.
 auto random_run(std::uint64_t seed) -> std::vector<int>
 {
     random_source random(seed);
@@ -77,7 +77,7 @@
     cr_assert(timers.advance(at(1s)).empty());
 }
 
-Test(timer_service, at_the_bound_it_refuses_and_recovers)
+Test(timer_service, refuses_subscriptions_at_its_capacity_and_recovers)
 {
     timer_service<int> timers(2);
     cr_assert(timers.subscribe(at(10ms), 1).has_value());
@@ -85,20 +85,20 @@
     cr_assert(timers.subscribe(at(5ms), 3).error().kind() == error_kind::limit_reached);
     cr_assert(timers.advance(at(10ms)).size() == 1);
     cr_assert(timers.subscribe(at(5ms), 3).has_value());
-    cr_assert(keys_of(timers.advance(at(10ms))) == std::vector({3}), "a past moment expires at once");
+    cr_assert(keys_of(timers.advance(at(10ms))) == std::vector({3}), "a time in the past expires at once");
 }
 
-Test(timer_service, a_process_that_wakes_late_sees_every_expiry_in_order)
+Test(timer_service, returns_expiries_in_order_after_a_pause)
 {
-    // A process is paused for an hour with a retry at 1 s, a heartbeat at 2 s and a request's limit at 3 s.
-    // On waking all three are due; taken one by one, the order must be that in which they were due.
+    // A process is paused for an hour with a retry at 1 s, a heartbeat at 2 s and a request's time limit at 3
+    // s. When it resumes, all three have expired and must be returned in the order of their times.
     timer_service<std::string> timers(8);
     cr_assert(timers.subscribe(at(3s), "limit").has_value());
     cr_assert(timers.subscribe(at(1s), "retry").has_value());
     cr_assert(timers.subscribe(at(2s), "heartbeat").has_value());
-    const instant woken = at(std::chrono::hours(1));
+    const instant resumed = at(std::chrono::hours(1));
     for (const char* expected : {"retry", "heartbeat", "limit"}) {
-        const auto expired = timers.advance(woken, 1);
+        const auto expired = timers.advance(resumed, 1);
         cr_assert(expired.size() == 1);
         cr_assert(expired[0].key == expected);
     }
