--- a/src/edge/caller_request.cpp
+++ b/src/edge/caller_request.cpp
@@ -12,7 +12,7 @@
 
 using boost::beast::iequals;
 
-auto lists(std::string_view list, std::string_view word) -> bool
+auto list_contains(std::string_view list, std::string_view word) -> bool
 {
     while (!list.empty()) {
         const auto comma = list.find(',');
@@ -42,17 +42,17 @@
     return std::string_view(target).substr(0, target.find('?'));
 }
 
-auto concerns_connection(std::string_view name, std::string_view connection) -> bool
+auto is_hop_by_hop(std::string_view name, std::string_view connection) -> bool
 {
     constexpr auto names = std::to_array<std::string_view>(
         {"connection", "keep-alive", "proxy-authenticate", "proxy-authorization", "proxy-connection", "te",
          "trailer", "transfer-encoding", "upgrade", "content-length", "expect"});
     const bool known =
         std::any_of(names.begin(), names.end(), [&](std::string_view other) { return iequals(name, other); });
-    return known || lists(connection, name);
+    return known || list_contains(connection, name);
 }
 
-auto framing_is_clear(const caller_request& request) -> bool
+auto has_unambiguous_framing(const caller_request& request) -> bool
 {
     const int lengths = request.count_of("content-length");
     const int encodings = request.count_of("transfer-encoding");
@@ -60,7 +60,7 @@
         return false;
     }
     const bool chunked = iequals(request.value_of("transfer-encoding"), "chunked");
-    return (encodings == 0 || (chunked && !request.old_protocol)) && request.count_of("host") == 1;
+    return (encodings == 0 || (chunked && !request.is_http_1_0)) && request.count_of("host") == 1;
 }
 
 } // namespace dragonflymill::edge
--- a/src/edge/caller_request.h
+++ b/src/edge/caller_request.h
@@ -9,32 +9,32 @@
 
 namespace dragonflymill::edge {
 
-/// A whole request of a caller.
+/// A complete request of a caller.
 struct caller_request
 {
-    std::string method;               ///< Method as it came.
-    std::string target;               ///< Path and query as they came.
-    std::vector<header_field> fields; ///< All fields as they came.
-    std::string body;                 ///< Whole body, without its framing.
-    bool keep_open = true;            ///< Whether the caller may use the connection again.
-    bool old_protocol = false;        ///< HTTP/1.0: no chunks in the answer.
-
-    /// Value of the first field with this name, in any case; empty without one.
+    std::string method;               ///< Method as received.
+    std::string target;               ///< Path and query as received.
+    std::vector<header_field> fields; ///< All header fields as received.
+    std::string body;                 ///< Complete body, without chunk framing.
+    bool keep_alive = true;           ///< Whether the connection is persistent.
+    bool is_http_1_0 = false;         ///< The response must not use chunked encoding.
+
+    /// Value of the first field with this name, compared case-insensitively; empty if there is none.
     [[nodiscard]] auto value_of(std::string_view name) const -> std::string_view;
-    /// Fields with this name.
+    /// Number of fields with this name, compared case-insensitively.
     [[nodiscard]] auto count_of(std::string_view name) const -> int;
-    /// The target up to its query.
+    /// The target without its query.
     [[nodiscard]] auto path() const -> std::string_view;
 
     friend auto operator==(const caller_request&, const caller_request&) -> bool = default;
 };
 
-/// Whether a field concerns one connection only and is not passed on; `connection` is the value of the
-/// message's Connection field, which may name more.
-[[nodiscard]] auto concerns_connection(std::string_view name, std::string_view connection) -> bool;
+/// Whether a header field is hop-by-hop and must not be forwarded. `connection` is the value of the message's
+/// Connection field, which may list further hop-by-hop fields.
+[[nodiscard]] auto is_hop_by_hop(std::string_view name, std::string_view connection) -> bool;
 
-/// Whether the framing fields of a request leave no doubt where its body ends. A request that two readers
-/// could cut differently may smuggle another one in: it is refused.
-[[nodiscard]] auto framing_is_clear(const caller_request& request) -> bool;
+/// Whether the framing fields of a request determine its end unambiguously, and it has exactly one Host
+/// field. Other requests are rejected, since two parsers could see different body ends (request smuggling).
+[[nodiscard]] auto has_unambiguous_framing(const caller_request& request) -> bool;
 
 } // namespace dragonflymill::edge
--- a/src/edge/caller_session.cpp
+++ b/src/edge/caller_session.cpp
@@ -25,17 +25,17 @@
 
 void caller_session::start()
 {
-    prepare_socket(socket_);
+    set_socket_options(socket_);
     out_.on_done([this](bool broken) {
         if (broken) {
             close();
         }
-        else if (phase_ == phase::ending) {
-            end_gracefully();
+        else if (phase_ == phase::lingering) {
+            close_gracefully();
         }
     });
     begin_parser();
-    wait_until(handler_.limits().idle_time);
+    set_timeout(handler_.limits().idle_time);
     read();
 }
 
@@ -51,7 +51,7 @@
 
 void caller_session::read()
 {
-    if (reading_ || phase_ == phase::over || in_.size() > max_early_bytes) {
+    if (reading_ || phase_ == phase::closed || in_.size() > max_pipelined_bytes) {
         return;
     }
     reading_ = true;
@@ -59,22 +59,22 @@
         asio::buffer(buffer_),
         [self = shared_from_this()](const boost::system::error_code& failed, std::size_t bytes) {
             self->reading_ = false;
-            self->took(failed, bytes);
+            self->on_read(failed, bytes);
         });
 }
 
-void caller_session::took(const boost::system::error_code& failed, std::size_t bytes)
+void caller_session::on_read(const boost::system::error_code& failed, std::size_t bytes)
 {
-    if (phase_ == phase::over) {
+    if (phase_ == phase::closed) {
         return;
     }
     if (failed) {
         close();
         return;
     }
-    if (phase_ != phase::ending) {
+    if (phase_ != phase::lingering) {
         in_.append(buffer_.data(), bytes);
-        if (phase_ != phase::answering) {
+        if (phase_ != phase::responding) {
             parse();
         }
     }
@@ -83,12 +83,12 @@
 
 void caller_session::parse()
 {
-    if (in_.empty() || phase_ == phase::over) {
+    if (in_.empty() || phase_ == phase::closed) {
         return;
     }
     if (phase_ == phase::idle) {
         phase_ = phase::reading;
-        wait_until(handler_.limits().header_time);
+        set_timeout(handler_.limits().header_time);
     }
     while (!in_.empty() && !parser_->is_done()) {
         boost::beast::error_code failed;
@@ -98,7 +98,7 @@
             break;
         }
         if (failed) {
-            refuse_unreadable(failed);
+            reject_malformed(failed);
             return;
         }
     }
@@ -107,7 +107,7 @@
         return;
     }
     if (parser_->is_header_done()) {
-        wait_until(handler_.limits().idle_time);
+        set_timeout(handler_.limits().idle_time);
         const auto& head = parser_->get();
         if (!continue_sent_ && boost::beast::iequals(head[beast_http::field::expect], "100-continue")) {
             continue_sent_ = true;
@@ -116,32 +116,32 @@
     }
 }
 
-void caller_session::refuse_unreadable(const boost::beast::error_code& failed)
+void caller_session::reject_malformed(const boost::beast::error_code& failed)
 {
-    keep_open_ = false;
-    phase_ = phase::answering;
+    keep_alive_ = false;
+    phase_ = phase::responding;
     if (failed == beast_http::error::header_limit) {
-        answer(431, "Request Header Fields Too Large", {}, "");
+        send_response(431, "Request Header Fields Too Large", {}, "");
     }
     else if (failed == beast_http::error::body_limit) {
-        answer(413, "Payload Too Large", {}, "");
+        send_response(413, "Payload Too Large", {}, "");
     }
     else {
-        answer(400, "Bad Request", {}, "");
+        send_response(400, "Bad Request", {}, "");
     }
 }
 
-auto caller_session::request_of(parser& whole) -> caller_request
+auto caller_session::build_request(parser& complete) -> caller_request
 {
-    auto message = whole.release();
+    auto message = complete.release();
     caller_request request;
     request.method = std::string(message.method_string());
     request.target = std::string(message.target());
     for (const auto& field : message) {
         request.fields.push_back({std::string(field.name_string()), std::string(field.value())});
     }
-    request.keep_open = message.keep_alive();
-    request.old_protocol = message.version() < 11;
+    request.keep_alive = message.keep_alive();
+    request.is_http_1_0 = message.version() < 11;
     request.body = std::move(message.body());
     return request;
 }
@@ -149,24 +149,24 @@
 void caller_session::dispatch()
 {
     const auto self = shared_from_this();
-    phase_ = phase::answering;
+    phase_ = phase::responding;
     if (timer_) {
         timers_.cancel(*timer_);
         timer_.reset();
     }
-    caller_request request = request_of(*parser_);
+    caller_request request = build_request(*parser_);
     begin_parser();
-    keep_open_ = request.keep_open;
-    old_protocol_ = request.old_protocol;
-    head_only_ = request.method == "HEAD";
-    if (!framing_is_clear(request)) {
-        keep_open_ = false;
-        answer(400, "Bad Request", {}, "");
+    keep_alive_ = request.keep_alive;
+    is_http_1_0_ = request.is_http_1_0;
+    is_head_request_ = request.method == "HEAD";
+    if (!has_unambiguous_framing(request)) {
+        keep_alive_ = false;
+        send_response(400, "Bad Request", {}, "");
         return;
     }
-    auto begun = handler_.begin(self, std::move(request));
-    if (phase_ == phase::answering) {
-        current_ = std::move(begun);
+    auto started = handler_.begin(self, std::move(request));
+    if (phase_ == phase::responding) {
+        current_ = std::move(started);
     }
 }
 
@@ -174,23 +174,23 @@
                                const std::vector<header_field>& fields) -> std::string
 {
     if (closing_ || handler_.closing()) {
-        keep_open_ = false;
+        keep_alive_ = false;
     }
     std::string text = "HTTP/1.1 " + std::to_string(status) + " ";
     text.append(reason).append("\r\n");
     for (const header_field& field : fields) {
         text.append(field.name).append(": ").append(field.value).append("\r\n");
     }
-    if (!keep_open_) {
+    if (!keep_alive_) {
         text.append("Connection: close\r\n");
     }
     return text;
 }
 
-void caller_session::answer(unsigned status, std::string_view reason, const std::vector<header_field>& fields,
-                            std::string_view body)
+void caller_session::send_response(unsigned status, std::string_view reason,
+                                   const std::vector<header_field>& fields, std::string_view body)
 {
-    if (phase_ != phase::answering) {
+    if (phase_ != phase::responding) {
         return;
     }
     std::string text = head_text(status, reason, fields);
@@ -199,67 +199,66 @@
         text.append("Content-Length: ").append(std::to_string(body.size())).append("\r\n");
     }
     text.append("\r\n");
-    if (!head_only_) {
+    if (!is_head_request_) {
         text.append(body);
     }
     write(text);
-    answered();
+    finish_response();
 }
 
-void caller_session::begin_answer(unsigned status, std::string_view reason,
-                                  const std::vector<header_field>& fields)
+void caller_session::begin_response(unsigned status, std::string_view reason,
+                                    const std::vector<header_field>& fields)
 {
-    if (old_protocol_) {
-        keep_open_ = false;
+    if (is_http_1_0_) {
+        keep_alive_ = false;
     }
     std::string text = head_text(status, reason, fields);
-    if (!old_protocol_) {
+    if (!is_http_1_0_) {
         text.append("Transfer-Encoding: chunked\r\n");
     }
     text.append("\r\n");
     write(text);
 }
 
-void caller_session::send_piece(std::string_view bytes)
+void caller_session::send_body_part(std::string_view bytes)
 {
-    if (bytes.empty() || phase_ != phase::answering) {
+    if (bytes.empty() || phase_ != phase::responding) {
         return;
     }
-    if (old_protocol_) {
+    if (is_http_1_0_) {
         write(bytes);
         return;
     }
     write(http::chunk_text(bytes));
 }
 
-void caller_session::end_answer()
+void caller_session::end_response()
 {
-    if (phase_ != phase::answering) {
+    if (phase_ != phase::responding) {
         return;
     }
-    if (!old_protocol_) {
+    if (!is_http_1_0_) {
         write(http::last_chunk_text());
     }
-    answered();
+    finish_response();
 }
 
-void caller_session::answered()
+void caller_session::finish_response()
 {
-    if (phase_ != phase::answering) {
+    if (phase_ != phase::responding) {
         return;
     }
     current_.reset();
-    if (!keep_open_) {
-        phase_ = phase::ending;
-        if (out_.waiting() == 0) {
-            end_gracefully();
+    if (!keep_alive_) {
+        phase_ = phase::lingering;
+        if (out_.unsent_bytes() == 0) {
+            close_gracefully();
         }
         return;
     }
     phase_ = phase::idle;
-    wait_until(handler_.limits().idle_time);
-    // What came early is read from the loop, so that a caller which sends many requests at once can't keep
-    // others waiting.
+    set_timeout(handler_.limits().idle_time);
+    // Parses pipelined input in a new event, so that a caller which sends many requests can't starve others.
     asio::post(socket_.get_executor(), [self = shared_from_this()] {
         if (self->phase_ == phase::idle) {
             self->parse();
@@ -268,9 +267,9 @@
     });
 }
 
-void caller_session::cut()
+void caller_session::abort()
 {
-    // Unread bytes make the close a reset; either way the caller sees no complete answer.
+    // With unread input the close becomes a reset; either way the caller sees no complete response.
     current_.reset();
     close();
 }
@@ -279,75 +278,75 @@
 {
     closing_ = true;
     if (phase_ == phase::idle) {
-        phase_ = phase::ending;
-        end_gracefully();
+        phase_ = phase::lingering;
+        close_gracefully();
     }
 }
 
 void caller_session::write(std::string_view bytes)
 {
-    if (phase_ == phase::over) {
+    if (phase_ == phase::closed) {
         return;
     }
     const bool broken = !out_.send(bytes, shared_from_this());
-    if (broken || out_.waiting() > max_waiting_bytes) {
-        // Not here: the request that is being answered must not be told so from within its own call.
+    if (broken || out_.unsent_bytes() > max_unsent_bytes) {
+        // Deferred: closing calls `on_caller_disconnected`, which must not run inside the request's own call.
         asio::post(socket_.get_executor(), [self = shared_from_this()] { self->close(); });
     }
 }
 
-void caller_session::wait_until(duration limit)
+void caller_session::set_timeout(duration timeout)
 {
     if (timer_) {
         timers_.cancel(*timer_);
     }
-    timer_ = timers_.at(runtime::now() + limit, [weak = weak_from_this()] {
+    timer_ = timers_.at(runtime::now() + timeout, [weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
             self->timer_.reset();
-            self->timed_out();
+            self->on_timeout();
         }
     });
 }
 
-void caller_session::timed_out()
+void caller_session::on_timeout()
 {
     if (phase_ == phase::reading) {
-        keep_open_ = false;
-        phase_ = phase::answering;
-        answer(408, "Request Timeout", {}, "");
+        keep_alive_ = false;
+        phase_ = phase::responding;
+        send_response(408, "Request Timeout", {}, "");
         return;
     }
     if (phase_ == phase::idle) {
-        phase_ = phase::ending;
-        end_gracefully();
+        phase_ = phase::lingering;
+        close_gracefully();
         return;
     }
     close();
 }
 
-void caller_session::end_gracefully()
+void caller_session::close_gracefully()
 {
-    boost::system::error_code ignored; // the caller may have closed first
+    boost::system::error_code ignored; // the caller may already have closed the connection
     socket_.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
-    wait_until(linger);
+    set_timeout(linger_time);
     read();
 }
 
 void caller_session::close()
 {
-    if (phase_ == phase::over) {
+    if (phase_ == phase::closed) {
         return;
     }
     const auto self = shared_from_this();
-    phase_ = phase::over;
+    phase_ = phase::closed;
     if (timer_) {
         timers_.cancel(*timer_);
         timer_.reset();
     }
-    boost::system::error_code ignored; // the connection is given up either way
+    boost::system::error_code ignored; // the descriptor is released either way
     socket_.close(ignored);
     if (const auto request = std::exchange(current_, nullptr)) {
-        request->caller_left();
+        request->on_caller_disconnected();
     }
     handler_.session_ended(this);
 }
--- a/src/edge/caller_session.h
+++ b/src/edge/caller_session.h
@@ -17,20 +17,20 @@
 
 class caller_session;
 
-/// A request that a session has read and that is being answered.
-class open_request
+/// A request that a session has read and whose response isn't complete yet.
+class in_flight_request
 {
 public:
-    open_request() = default;
-    virtual ~open_request() = default;
-    open_request(const open_request&) = delete;
-    auto operator=(const open_request&) -> open_request& = delete;
+    in_flight_request() = default;
+    virtual ~in_flight_request() = default;
+    in_flight_request(const in_flight_request&) = delete;
+    auto operator=(const in_flight_request&) -> in_flight_request& = delete;
 
-    /// The caller closed its connection: its work is to be cancelled.
-    virtual void caller_left() = 0;
+    /// Called when the caller has closed its connection; cancels the work for the request.
+    virtual void on_caller_disconnected() = 0;
 };
 
-/// Takes the requests of sessions.
+/// Handles the requests that sessions read.
 class request_handler
 {
 public:
@@ -39,80 +39,78 @@
     request_handler(const request_handler&) = delete;
     auto operator=(const request_handler&) -> request_handler& = delete;
 
-    /// Begins to answer a request; may answer before it returns.
+    /// Starts handling a request; may send the response before it returns. Null if nothing needs cancelling.
     virtual auto begin(const std::shared_ptr<caller_session>& session, caller_request request)
-        -> std::shared_ptr<open_request> = 0;
-    /// What callers may send now.
+        -> std::shared_ptr<in_flight_request> = 0;
+    /// Current size and time limits for callers.
     [[nodiscard]] virtual auto limits() const -> direct::caller_limits = 0;
-    /// Whether callers are told that their connection ends with this answer.
+    /// Whether responses announce `Connection: close`.
     [[nodiscard]] virtual auto closing() const -> bool = 0;
-    /// A session ended.
+    /// Called when a session has closed.
     virtual void session_ended(caller_session* session) = 0;
 };
 
-/// A caller's connection: reads requests one after the other, writes their answers and notices when the
-/// caller leaves.
+/// Server side of a caller's HTTP/1.1 connection: reads requests one at a time, writes their responses and
+/// detects that the caller has disconnected.
 class caller_session : public std::enable_shared_from_this<caller_session>
 {
 public:
     caller_session(boost::asio::ip::tcp::socket socket, loop_timers& timers, request_handler& handler);
 
-    /// Begins to read.
+    /// Starts reading requests.
     void start();
-    /// Sends an answer that is whole.
-    void answer(unsigned status, std::string_view reason, const std::vector<header_field>& fields,
-                std::string_view body);
-    /// Sends the head of an answer that comes in pieces.
-    void begin_answer(unsigned status, std::string_view reason, const std::vector<header_field>& fields);
-    /// Sends a piece of it.
-    void send_piece(std::string_view bytes);
-    /// Ends it as complete.
-    void end_answer();
-    /// Closes the connection, so that a part of an answer can't be taken for the whole.
-    void cut();
-    /// Ends the connection if it is idle, or else after its answer.
+    /// Sends a complete response.
+    void send_response(unsigned status, std::string_view reason, const std::vector<header_field>& fields,
+                       std::string_view body);
+    /// Sends the head of a streamed response.
+    void begin_response(unsigned status, std::string_view reason, const std::vector<header_field>& fields);
+    /// Sends the next part of a streamed response's body.
+    void send_body_part(std::string_view bytes);
+    /// Completes a streamed response.
+    void end_response();
+    /// Closes the connection, so that the caller sees a truncated response rather than a complete one.
+    void abort();
+    /// Closes the connection now if it is idle, otherwise after the current response.
     void close_when_idle();
-    /// Whether no request is being read or answered.
+    /// Whether no request is being read or handled.
     [[nodiscard]] auto idle() const -> bool { return phase_ == phase::idle; }
-    /// Whether the connection is over.
-    [[nodiscard]] auto over() const -> bool { return phase_ == phase::over; }
+    [[nodiscard]] auto closed() const -> bool { return phase_ == phase::closed; }
 
 private:
     enum class phase
     {
-        idle,      ///< Between requests.
-        reading,   ///< A request has begun.
-        answering, ///< A request is being answered.
-        ending,    ///< Its last answer is on its way out.
-        over,      ///< Closed.
+        idle,       ///< Between requests.
+        reading,    ///< Part of a request has been received.
+        responding, ///< A request is being handled.
+        lingering,  ///< The last response is being flushed; further input is discarded.
+        closed,     ///< The socket is closed.
     };
     using parser = boost::beast::http::request_parser<boost::beast::http::string_body>;
 
     void read();
-    void took(const boost::system::error_code& failed, std::size_t bytes);
+    void on_read(const boost::system::error_code& failed, std::size_t bytes);
     void parse();
     void begin_parser();
-    void refuse_unreadable(const boost::beast::error_code& failed);
+    void reject_malformed(const boost::beast::error_code& failed);
     void dispatch();
-    [[nodiscard]] auto request_of(parser& whole) -> caller_request;
-    void answered();
+    [[nodiscard]] auto build_request(parser& complete) -> caller_request;
+    void finish_response();
     void write(std::string_view bytes);
-    void wait_until(duration limit);
-    void timed_out();
-    void end_gracefully();
+    void set_timeout(duration timeout);
+    void on_timeout();
+    void close_gracefully();
     void close();
     [[nodiscard]] auto head_text(unsigned status, std::string_view reason,
                                  const std::vector<header_field>& fields) -> std::string;
 
     static constexpr std::size_t read_bytes = 16'384;
-    /// A caller may send its next request early; more than this is left in its socket until the answer is
-    /// out.
-    static constexpr std::size_t max_early_bytes = 65'536;
-    /// A caller that reads so slowly that this much waits for it is given up.
-    static constexpr std::size_t max_waiting_bytes = 4'194'304;
-    /// After the last answer the caller's side is read for so long, since closing with unread bytes would
-    /// reset the connection and could destroy the answer on its way.
-    static constexpr duration linger = 1s;
+    /// Pipelined input that is buffered; the rest stays in the socket until the current response is complete.
+    static constexpr std::size_t max_pipelined_bytes = 65'536;
+    /// The connection to a slow reader is closed when more unsent bytes than this are queued.
+    static constexpr std::size_t max_unsent_bytes = 4'194'304;
+    /// Input is drained for this long after the last response: closing a socket with unread bytes resets the
+    /// connection and can discard a response that the caller hasn't received yet.
+    static constexpr duration linger_time = 1s;
 
     boost::asio::ip::tcp::socket socket_;
     loop_timers& timers_;
@@ -121,12 +119,12 @@
     std::array<char, read_bytes> buffer_{};
     std::string in_;
     std::optional<parser> parser_;
-    std::shared_ptr<open_request> current_;
+    std::shared_ptr<in_flight_request> current_;
     std::optional<timer_id> timer_;
     phase phase_ = phase::idle;
-    bool keep_open_ = true;
-    bool old_protocol_ = false;
-    bool head_only_ = false;
+    bool keep_alive_ = true;
+    bool is_http_1_0_ = false;
+    bool is_head_request_ = false;
     bool continue_sent_ = false;
     bool reading_ = false;
     bool closing_ = false;
--- a/src/edge/direct_gateway.cpp
+++ b/src/edge/direct_gateway.cpp
@@ -17,43 +17,45 @@
 
 namespace {
 
-/// How often the gateway looks after what no event tells: silent peers, held removals, calls that waited
-/// long.
+/// Interval of checks that no event triggers: silent peers, deferred removals, queue timeouts.
 constexpr duration tick_interval = 100ms;
-/// While calls wait for an upstream, room that other gateways made is looked for this often.
+/// Interval while calls are queued: checks for capacity that other gateways have released.
 constexpr duration waiting_tick_interval = 25ms;
-/// The source is being read if its last answer is not older: a watch answers after two seconds at the latest,
-/// and a slow one takes some hundred milliseconds more.
-constexpr duration source_fresh = 2900ms;
-/// For so long after its start a gateway doesn't know how many others there are and takes so many that one
-/// second attempt is left for each: each of a fleet that starts at once would else use what all may use
-/// together.
-constexpr duration settling = 5s;
-/// Name of the source in logs; peers are named by their address.
+/// The source counts as being read if its last response isn't older. A watch completes after two seconds at
+/// the latest, and a slow one takes some hundred milliseconds more.
+constexpr duration source_freshness_limit = 2900ms;
+/// Time after the start during which the number of gateways isn't known yet. Until then the highest number is
+/// assumed that leaves one retry per gateway: when a whole fleet starts at once, each gateway would otherwise
+/// use the retry budget of all.
+constexpr duration gateway_count_settle_time = 5s;
+/// Name of the source in log fields; peers are named by their address.
 constexpr const char* source_name = "source";
-/// A peer that knows more is asked after the source had this long to tell the same.
-constexpr duration source_patience = 150ms;
-/// A gateway that has just started lets callers wait for so long until it knows a configuration. Callers take
-/// a request that isn't read within a second for lost.
-constexpr duration configuration_patience = 700ms;
-/// A caller that comes to a gateway which has been stopping for so long finds no other: it is asked back
-/// after the balancer has asked all gateways once more.
-constexpr duration next_ready_check = 1s;
-/// A caller whose request is given up at the end of the grace time may go to another gateway at once.
-constexpr duration retry_after_stop = 100ms;
-/// Before the process is killed it ends what is left, so that callers see an end rather than silence.
-constexpr duration end_before_kill = 400ms;
+/// Time for the source to deliver a change before it is fetched from a peer that already has it.
+constexpr duration peer_fetch_delay = 150ms;
+/// Time that callers of a starting gateway wait for its configuration. Callers treat a request that isn't
+/// read within a second as lost.
+constexpr duration config_wait_limit = 700ms;
+/// Retry-After for callers that still reach a gateway after its deregistration delay: no other gateway is
+/// ready then, and the load balancer repeats its readiness checks once a second.
+constexpr duration next_readiness_check = 1s;
+/// Retry-After for requests that are aborted at the end of the grace time; another gateway can serve them at
+/// once.
+constexpr duration retry_after_shutdown = 100ms;
+/// Time before the kill at which remaining requests are aborted, so that callers get an error rather than
+/// silence.
+constexpr duration kill_margin = 400ms;
 
 } // namespace
 
 direct_gateway::direct_gateway(asio::io_context& loop, direct_gateway_settings settings,
-                               platform_adapter platform, record_source& source, settings_reader reread)
+                               platform_adapter platform, record_source& source,
+                               settings_reader reload_settings)
     : loop_(loop)
     , timers_(loop)
     , settings_(std::move(settings))
     , platform_(std::move(platform))
     , source_(source)
-    , reread_(std::move(reread))
+    , reload_settings_(std::move(reload_settings))
     , dispatcher_({settings_.failure_domain, settings_.retries, stable_hash(to_text(settings_.peers))})
     , peers_("", "", {})
     , relay_({})
@@ -62,23 +64,23 @@
                platform_.names,
                platform_.orders,
                dispatcher_,
-               returns_,
+               retry_detector_,
                fleet_,
                records_,
                metrics_,
-               [this] { decide_soon(); },
-               [this](std::uint64_t over) {
-                   // Not here: the exchange that ends is still on the stack.
-                   asio::post(loop_, [this, over] {
-                       exchanges_.erase(over);
-                       end_if_done();
+               [this] { schedule_dispatch(); },
+               [this](std::uint64_t finished) {
+                   // Deferred: the exchange that has finished is still on the call stack.
+                   asio::post(loop_, [this, finished] {
+                       exchanges_.erase(finished);
+                       stop_loop_if_done();
                    });
                }}
     , link_(loop, timers_,
-            {[this](const direct::peer_datagram& datagram) { take_datagram(datagram); },
+            {[this](const direct::peer_datagram& datagram) { handle_datagram(datagram); },
              [this](std::uint64_t after) { return records_.since(after); },
-             [this](const direct::records_update& extract, const std::string& peer) {
-                 take_records(extract, peer);
+             [this](const direct::records_update& update, const std::string& peer) {
+                 apply_records(update, peer);
              },
              [this](const std::string& why) {
                  ++fetches_failed_;
@@ -92,9 +94,10 @@
                [this](caller_session* session) { session_ended(session); }})
 {
     const auto started = runtime::wall_now().time_since_epoch().count();
-    start_name_ = settings_.name + "#" + std::to_string(started);
+    incarnation_name_ = settings_.name + "#" + std::to_string(started);
     fleet_.set_leave_bound(settings_.drain_delivery_bound);
-    peers_ = direct::peer_table(start_name_, to_text(settings_.peers), settings_.seeds, settings_.millicores);
+    peers_ = direct::peer_table(incarnation_name_, to_text(settings_.peers), settings_.seeds,
+                                settings_.millicores);
     relay_ = direct::gossip_relay(own_identity());
 }
 
@@ -117,9 +120,9 @@
         return opened;
     }
     started_at_ = runtime::now();
-    timers_.at(started_at_ + configuration_patience, [this] { accept_callers(); });
-    count_gateways();
-    log_event(event::gateway_started, field("gateway", start_name_));
+    timers_.at(started_at_ + config_wait_limit, [this] { accept_callers(); });
+    update_gateway_count();
+    log_event(event::gateway_started, field("gateway", incarnation_name_));
     wait_for_signals();
     start_source();
     send_gossip(true);
@@ -149,9 +152,9 @@
 
 void direct_gateway::accept_callers()
 {
-    // Callers that came back to a gateway which has just started would be refused for the few milliseconds
-    // until it knows a configuration; their connections wait in the socket's queue instead.
-    if (!std::exchange(accepts_callers_, true)) {
+    // Until the configuration is known, callers wait in the socket's backlog: accepting them would refuse
+    // those that retry during the first milliseconds after a start.
+    if (!std::exchange(accept_loop_started_, true)) {
         accept(callers_, *this);
     }
 }
@@ -174,9 +177,9 @@
 
 void direct_gateway::session_ended(caller_session* session)
 {
-    asio::post(loop_, [this, kept = session->shared_from_this()] {
-        sessions_.erase(kept);
-        end_if_done();
+    asio::post(loop_, [this, ended = session->shared_from_this()] {
+        sessions_.erase(ended);
+        stop_loop_if_done();
     });
 }
 
@@ -186,18 +189,18 @@
 }
 
 auto direct_gateway::begin(const std::shared_ptr<caller_session>& session, caller_request request)
-    -> std::shared_ptr<open_request>
+    -> std::shared_ptr<in_flight_request>
 {
     const std::uint64_t id = ++next_exchange_;
-    auto made = std::make_shared<exchange>(id, session, std::move(request), context_);
-    exchanges_.emplace(id, made);
-    if (!accepting_) {
-        made->stop(next_ready_check);
+    auto created = std::make_shared<exchange>(id, session, std::move(request), context_);
+    exchanges_.emplace(id, created);
+    if (!accepts_requests_) {
+        created->abort(next_readiness_check);
     }
     else {
-        made->begin();
+        created->begin();
     }
-    return made;
+    return created;
 }
 
 auto direct_gateway::caller_port() const -> std::uint16_t
@@ -208,11 +211,11 @@
 void direct_gateway::start_source()
 {
     source_.start(
-        {[this](const direct::records_update& extract) { take_records(extract, source_name); },
+        {[this](const direct::records_update& update) { apply_records(update, source_name); },
          [this](const std::string& why) {
-             const bool news = !outage_.is_lost();
+             const bool first_failure = !outage_.is_lost();
              outage_.lost(runtime::now());
-             if (news) {
+             if (first_failure) {
                  log_event(event::record_source_lost, field("why", why),
                            field("fleet_revision", records_.revision()));
              }
@@ -227,23 +230,23 @@
          [this] { return records_.revision(); }, [this] { return peers_.must_read_source(runtime::now()); }});
 }
 
-void direct_gateway::take_records(const direct::records_update& extract, const std::string& from)
+void direct_gateway::apply_records(const direct::records_update& update, const std::string& from)
 {
-    const auto news = records_.apply(extract);
-    for (const direct::fleet_record& record : news) {
-        take_record(record, from);
+    const auto changes = records_.apply(update);
+    for (const direct::fleet_record& record : changes) {
+        apply_record(record, from);
     }
-    if (!news.empty()) {
-        decide_soon();
-        // Gateways that don't read the source themselves wait for this digest. What was learned from one of
-        // them is sent with the next digest: if each passed it on at once, a change would cost as many
-        // digests as there are pairs of gateways.
+    if (!changes.empty()) {
+        schedule_dispatch();
+        // Gateways that don't read the source depend on this digest, so changes from the source are announced
+        // at once. Changes received from a peer wait for the next digest: announcing them at once from every
+        // gateway would cost as many digests per change as there are pairs of gateways.
         send_gossip(from == source_name);
     }
-    note_ready();
+    update_readiness();
 }
 
-void direct_gateway::take_record(const direct::fleet_record& record, const std::string& from)
+void direct_gateway::apply_record(const direct::fleet_record& record, const std::string& from)
 {
     const instant now = runtime::now();
     const std::uint64_t version_before = fleet_.config() == nullptr ? 0 : fleet_.config()->version();
@@ -254,21 +257,21 @@
                   field("held_back", after_outage), field("revision", record.revision), field("from", from));
         return;
     }
-    const direct::decoded_record fact = source_.decode(record);
-    fleet_.take(record.key, fact, now);
-    if (const auto* unusable = std::get_if<direct::unusable_record>(&fact)) {
+    const direct::decoded_record decoded = source_.decode(record);
+    fleet_.take(record.key, decoded, now);
+    if (const auto* unusable = std::get_if<direct::unusable_record>(&decoded)) {
         log_event(event::record_unusable, field("record", record.key), field("why", unusable->reason),
                   field("revision", record.revision));
         return;
     }
-    if (const auto* entry = std::get_if<direct::upstream_entry>(&fact)) {
+    if (const auto* entry = std::get_if<direct::upstream_entry>(&decoded)) {
         log_event(event::fleet_changed, field("record", record.key),
                   field("change", entry->leaving ? "leaving" : "present"),
                   field("cold_us", entry->cold_remaining), field("revision", record.revision),
                   field("from", from));
         return;
     }
-    if (std::holds_alternative<direct::drained_domain>(fact)) {
+    if (std::holds_alternative<direct::drained_domain>(decoded)) {
         log_event(event::fleet_changed, field("record", record.key), field("change", "out"),
                   field("revision", record.revision), field("from", from));
         return;
@@ -280,25 +283,25 @@
     }
 }
 
-void direct_gateway::take_datagram(const direct::peer_datagram& datagram)
+void direct_gateway::handle_datagram(const direct::peer_datagram& datagram)
 {
     const instant now = runtime::now();
     relay_.take(datagram, now);
     for (const direct::peer_message& message : datagram.messages) {
-        take_message(message, now);
+        handle_message(message, now);
     }
-    catch_up_from_peers();
+    fetch_missing_records();
     schedule_flush();
 }
 
-void direct_gateway::take_message(const direct::peer_message& message, instant now)
+void direct_gateway::handle_message(const direct::peer_message& message, instant now)
 {
     if (peers_.take(message.digest, now)) {
         log_event(event::peer_gateway_found, field("peer", message.digest.gateway),
                   field("address", message.digest.address));
-        count_gateways();
-        // Only the new one is answered: a digest to all for each that is found is the cube of their number
-        // when all start at once.
+        update_gateway_count();
+        // Replies to the new peer only. A digest to all gateways for each one found would cost the cube of
+        // their number when all start at once.
         link_.send({"", false, {full_digest()}}, {message.digest.address});
     }
     dispatcher_.loads().apply_report(message.report, now);
@@ -307,7 +310,7 @@
     }
 }
 
-void direct_gateway::catch_up_from_peers()
+void direct_gateway::fetch_missing_records()
 {
     const auto newer = peers_.select_newer_peer(records_.revision(), fetches_failed_);
     const instant now = runtime::now();
@@ -318,14 +321,15 @@
     if (behind_since_ == instant{}) {
         behind_since_ = now;
     }
-    // The source tells most changes itself; asking a peer each time would double the traffic.
-    const bool reads = now - source_read_at_ < source_fresh;
-    if (now - behind_since_ >= source_patience || outage_.is_lost() || !reads) {
+    // The source delivers most changes by itself; fetching each of them from a peer too would double the
+    // traffic.
+    const bool reads_source = now - source_read_at_ < source_freshness_limit;
+    if (now - behind_since_ >= peer_fetch_delay || outage_.is_lost() || !reads_source) {
         link_.fetch(newer->address, records_.revision());
     }
 }
 
-auto direct_gateway::bare_digest() -> direct::peer_message
+auto direct_gateway::digest_header() -> direct::peer_message
 {
     const instant now = runtime::now();
     direct::peer_message message;
@@ -333,7 +337,7 @@
     message.digest.sequence = ++digest_sequence_;
     message.digest.revision = records_.revision();
     message.digest.leaving = stopping_;
-    message.digest.reads_source = !outage_.is_lost() && now - source_read_at_ < source_fresh;
+    message.digest.reads_source = !outage_.is_lost() && now - source_read_at_ < source_freshness_limit;
     message.digest.relaying = relay_.is_relay();
     return message;
 }
@@ -341,7 +345,7 @@
 auto direct_gateway::own_identity() const -> direct::peer_digest
 {
     direct::peer_digest digest;
-    digest.gateway = start_name_;
+    digest.gateway = incarnation_name_;
     digest.address = to_text(settings_.peers);
     digest.failure_domain = settings_.failure_domain;
     digest.millicores = settings_.millicores;
@@ -350,7 +354,7 @@
 
 auto direct_gateway::full_digest() -> direct::peer_message
 {
-    direct::peer_message message = bare_digest();
+    direct::peer_message message = digest_header();
     message.digest.peers = peers_.address_sample(message.digest.sequence);
     message.report.is_complete = true;
     message.report.loads = dispatcher_.loads().own_loads(runtime::now());
@@ -359,7 +363,7 @@
 
 auto direct_gateway::delta_digest(std::uint64_t since) -> direct::peer_message
 {
-    direct::peer_message message = bare_digest();
+    direct::peer_message message = digest_header();
     message.report.is_complete = false;
     message.report.loads = dispatcher_.loads().own_loads(runtime::now(), since);
     return message;
@@ -384,7 +388,7 @@
         link_.send({"", false, {message}}, peers_.targets(now));
     }
     else if (due->whole) {
-        // Gateways that no relay knows yet, or that were cut off from all, are found again.
+        // Reaches gateways that no relay knows yet and those that were partitioned from all others.
         link_.send({"", false, {message}}, peers_.unknown_addresses());
     }
     if (relay_.relay()) {
@@ -431,43 +435,44 @@
         log_event(event::gossip_relay_chosen, field("relay", *relay_.relay()),
                   field("gateways", peers_.gateways()));
     }
-    // A subscription begins with a digest, and subscribers take a silent relay for lost.
+    // A subscription starts with a digest, and subscribers treat a silent relay as lost.
     if (moved || relay_.keepalive_due(now)) {
         send_gossip(true);
     }
 }
 
-void direct_gateway::decide_soon()
+void direct_gateway::schedule_dispatch()
 {
-    if (std::exchange(decide_pending_, true)) {
+    if (std::exchange(dispatch_scheduled_, true)) {
         return;
     }
     asio::post(loop_, [this] {
-        decide_pending_ = false;
-        decide();
+        dispatch_scheduled_ = false;
+        dispatch_calls();
     });
 }
 
-void direct_gateway::decide()
+void direct_gateway::dispatch_calls()
 {
     const direct::dispatch_round round = dispatcher_.decide(fleet_, runtime::now());
-    // A long prompt keeps many engines busy: another gateway that learns of it late sends its own there too.
+    // A long prompt occupies many engines. It is announced at once, since a gateway that learns of it late
+    // would dispatch its own long prompt to the same engines.
     const bool long_sent =
         std::any_of(round.orders.begin(), round.orders.end(),
-                    [](const direct::dispatch_assignment& order) { return order.choice.is_long; });
+                    [](const direct::dispatch_assignment& assignment) { return assignment.choice.is_long; });
     if (long_sent) {
         send_gossip(true);
     }
-    for (const direct::dispatch_assignment& order : round.orders) {
-        if (const auto found = exchanges_.find(order.call); found != exchanges_.end()) {
-            const auto kept = found->second;
-            kept->dispatched(order);
+    for (const direct::dispatch_assignment& assignment : round.orders) {
+        if (const auto found = exchanges_.find(assignment.call); found != exchanges_.end()) {
+            const auto exchange_kept_alive = found->second;
+            exchange_kept_alive->on_dispatched(assignment);
         }
     }
     for (const direct::dispatch_refusal& refusal : round.refusals) {
         if (const auto found = exchanges_.find(refusal.call); found != exchanges_.end()) {
-            const auto kept = found->second;
-            kept->refused(refusal);
+            const auto exchange_kept_alive = found->second;
+            exchange_kept_alive->on_refused(refusal);
         }
     }
     metrics_.waiting.set(static_cast<std::int64_t>(dispatcher_.waiting()));
@@ -485,25 +490,25 @@
     const instant now = runtime::now();
     fleet_.tick(now);
     dispatcher_.report_suspects(fleet_, now);
-    for (const std::string& gone : peers_.expire_peers(now)) {
-        dispatcher_.loads().remove_gateway(gone);
-        log_event(event::peer_gateway_lost, field("peer", gone));
+    for (const std::string& expired : peers_.expire_peers(now)) {
+        dispatcher_.loads().remove_gateway(expired);
+        log_event(event::peer_gateway_lost, field("peer", expired));
     }
-    count_gateways();
+    update_gateway_count();
     update_relay(now);
-    catch_up_from_peers();
+    fetch_missing_records();
     if (dispatcher_.waiting() > 0) {
-        decide();
+        dispatch_calls();
     }
     send_gossip(false);
     schedule_tick();
 }
 
-void direct_gateway::count_gateways()
+void direct_gateway::update_gateway_count()
 {
-    const bool settled = runtime::now() - started_at_ >= settling;
-    const int most = static_cast<int>(settings_.retries.slack * direct::retry_window::safety);
-    dispatcher_.set_gateways(settled ? peers_.gateways() : std::max(peers_.gateways(), most));
+    const bool settled = runtime::now() - started_at_ >= gateway_count_settle_time;
+    const int max_gateways = static_cast<int>(settings_.retries.slack * direct::retry_window::safety);
+    dispatcher_.set_gateways(settled ? peers_.gateways() : std::max(peers_.gateways(), max_gateways));
     metrics_.gateways.set(peers_.gateways());
 }
 
@@ -512,11 +517,11 @@
     return fleet_.config() != nullptr && !stopping_;
 }
 
-void direct_gateway::note_ready()
+void direct_gateway::update_readiness()
 {
-    if (ready() != was_ready_) {
-        was_ready_ = ready();
-        if (was_ready_) {
+    if (ready() != reported_ready_) {
+        reported_ready_ = ready();
+        if (reported_ready_) {
             accept_callers();
             log_event(event::gateway_ready, field("fleet_revision", records_.revision()));
         }
@@ -536,7 +541,7 @@
             reload();
         }
         else {
-            begin_stop();
+            begin_shutdown();
         }
         wait_for_signals();
     });
@@ -544,12 +549,12 @@
 
 void direct_gateway::reload()
 {
-    const auto fresh = reread_();
+    const auto fresh = reload_settings_();
     if (!fresh) {
         log_event(event::settings_kept);
         return;
     }
-    // Addresses that are listened on stay until the process starts again.
+    // Listening addresses can't change while the process runs.
     settings_.seeds = fresh->seeds;
     settings_.retries = fresh->retries;
     settings_.grace = fresh->grace;
@@ -561,47 +566,47 @@
     log_event(event::settings_reloaded, field("seeds", settings_.seeds.size()));
 }
 
-void direct_gateway::begin_stop()
+void direct_gateway::begin_shutdown()
 {
     if (std::exchange(stopping_, true)) {
         return;
     }
-    stop_begun_ = runtime::now();
+    shutdown_started_at_ = runtime::now();
     log_event(event::gateway_stopping, field("requests", exchanges_.size()));
-    note_ready();
+    update_readiness();
     send_gossip(true);
-    timers_.at(stop_begun_ + settings_.deregistration_delay, [this] { stop_accepting(); });
-    timers_.at(stop_begun_ + std::max(settings_.grace - end_before_kill, settings_.deregistration_delay),
-               [this] { end(); });
+    timers_.at(shutdown_started_at_ + settings_.deregistration_delay, [this] { stop_accepting_requests(); });
+    timers_.at(shutdown_started_at_ + std::max(settings_.grace - kill_margin, settings_.deregistration_delay),
+               [this] { finish_shutdown(); });
 }
 
-void direct_gateway::stop_accepting()
+void direct_gateway::stop_accepting_requests()
 {
-    // The listening socket stays open: while no gateway is ready the balancer sends callers to any, and one
-    // that is told when to come back is better off than one that finds no connection.
-    accepting_ = false;
+    // The listening socket stays open: while no gateway is ready, the load balancer sends callers to any of
+    // them, and a 503 with Retry-After serves callers better than a refused connection.
+    accepts_requests_ = false;
     const auto all = sessions_;
     for (const auto& session : all) {
         session->close_when_idle();
     }
-    end_if_done();
+    stop_loop_if_done();
 }
 
-void direct_gateway::end_if_done()
+void direct_gateway::stop_loop_if_done()
 {
     const bool all_answered = std::all_of(sessions_.begin(), sessions_.end(), [](const auto& session) {
-        return session->over() || session->idle();
+        return session->closed() || session->idle();
     });
-    if (stopping_ && !accepting_ && exchanges_.empty() && all_answered) {
+    if (stopping_ && !accepts_requests_ && exchanges_.empty() && all_answered) {
         loop_.stop();
     }
 }
 
-void direct_gateway::end()
+void direct_gateway::finish_shutdown()
 {
     const auto all = exchanges_;
     for (const auto& [id, open] : all) {
-        open->stop(retry_after_stop);
+        open->abort(retry_after_shutdown);
     }
     asio::post(loop_, [this] { loop_.stop(); });
 }
--- a/src/edge/direct_gateway.h
+++ b/src/edge/direct_gateway.h
@@ -33,56 +33,57 @@
 /// Settings of a gateway that reaches upstreams directly.
 struct direct_gateway_settings
 {
-    std::string name;                    ///< Of this host's process, in logs.
-    std::string failure_domain;          ///< Where it runs.
-    socket_address callers;              ///< Where callers come.
-    socket_address ready;                ///< Where the balancer asks.
-    socket_address peers;                ///< Where other gateways reach it.
-    socket_address metrics;              ///< Where counters are served; empty for nowhere.
-    std::vector<std::string> seeds;      ///< Addresses of gateways to begin with.
-    direct::retry_budget_limits retries; ///< Of second attempts.
-    int millicores = 0;                  ///< Processor of its host, in thousandths of a core; 0: not stated.
-    duration drain_delivery_bound =
-        2s;              ///< Work may reach an upstream for so long after it said that it leaves.
-    duration grace = 8s; ///< From the signal to stop until the process is killed.
-    /// From the signal to stop, callers are still served for so long: the balancer asks once a second and
-    /// takes a gateway out after the second refusal, and the connections that it made before arrive a little
-    /// later.
+    std::string name;                    ///< Name of this gateway process in logs and digests.
+    std::string failure_domain;          ///< Failure domain that it runs in.
+    socket_address callers;              ///< Listening address for callers.
+    socket_address ready;                ///< Listening address for the load balancer's readiness checks.
+    socket_address peers;                ///< Listening address for other gateways (UDP and TCP).
+    socket_address metrics;              ///< Listening address for metrics; empty to serve none.
+    std::vector<std::string> seeds;      ///< Peer addresses of gateways to contact first.
+    direct::retry_budget_limits retries; ///< Limits of the retry budget.
+    int millicores = 0; ///< CPU share of the process, in thousandths of a core; 0 if unknown.
+    /// Time after an upstream announces that it drains during which it may still receive work.
+    duration drain_delivery_bound = 2s;
+    /// Time from SIGTERM until the process is killed.
+    duration grace = 8s;
+    /// Time from SIGTERM during which callers are still served. The load balancer checks readiness once a
+    /// second, removes a gateway after the second failed check, and connections that it opened before that
+    /// arrive slightly later.
     duration deregistration_delay = 3s;
 
     friend auto operator==(const direct_gateway_settings&, const direct_gateway_settings&) -> bool = default;
 };
 
-/// How the outside systems of a deployment name and write things; its adapter provides it.
+/// Names and encodings used by the external systems of a deployment; its adapter provides them.
 struct platform_adapter
 {
-    header_names names;     ///< Header fields.
-    upstream_orders orders; ///< Orders to engines.
+    header_names names;     ///< Names of header fields.
+    upstream_orders orders; ///< Encoders of orders to engines.
 };
 
-/// A gateway process that reaches upstreams directly: one event loop, no thread but the log's. The processor
-/// of its hosts runs one thread at a time and each hand-over costs a wake-up, so a ring between threads would
-/// only make each event of a stream dearer.
+/// A gateway process that connects to upstreams directly. Runs one event loop; only the logger has a thread
+/// of its own. Its hosts run one thread at a time and each handover between threads costs a wake-up, so a
+/// queue between threads would make every stream event more expensive.
 class direct_gateway : public request_handler
 {
 public:
-    /// `reread` gives the settings anew; nothing if they can't be read.
+    /// Reads the settings again; `nullopt` if they are invalid.
     using settings_reader = std::function<std::optional<direct_gateway_settings>()>;
 
     direct_gateway(boost::asio::io_context& loop, direct_gateway_settings settings, platform_adapter platform,
-                   record_source& source, settings_reader reread);
+                   record_source& source, settings_reader reload_settings);
     ~direct_gateway() override;
     direct_gateway(const direct_gateway&) = delete;
     auto operator=(const direct_gateway&) -> direct_gateway& = delete;
 
-    /// Opens its sockets and begins.
+    /// Opens the listening sockets and starts serving. Fails if an address can't be listened on.
     [[nodiscard]] auto start() -> result<void>;
 
-    /// Port at which callers are served; chosen by the system if the settings say 0.
+    /// Port on which callers are served; chosen by the system if the settings state 0.
     [[nodiscard]] auto caller_port() const -> std::uint16_t;
 
     auto begin(const std::shared_ptr<caller_session>& session, caller_request request)
-        -> std::shared_ptr<open_request> override;
+        -> std::shared_ptr<in_flight_request> override;
     [[nodiscard]] auto limits() const -> direct::caller_limits override;
     [[nodiscard]] auto closing() const -> bool override { return stopping_; }
     void session_ended(caller_session* session) override;
@@ -95,12 +96,12 @@
     void accept(boost::asio::ip::tcp::acceptor& acceptor, request_handler& handler);
     void accept_callers();
     void start_source();
-    void take_records(const direct::records_update& extract, const std::string& from);
-    void take_record(const direct::fleet_record& record, const std::string& from);
-    void take_datagram(const direct::peer_datagram& datagram);
-    void take_message(const direct::peer_message& message, instant now);
-    void catch_up_from_peers();
-    [[nodiscard]] auto bare_digest() -> direct::peer_message;
+    void apply_records(const direct::records_update& update, const std::string& from);
+    void apply_record(const direct::fleet_record& record, const std::string& from);
+    void handle_datagram(const direct::peer_datagram& datagram);
+    void handle_message(const direct::peer_message& message, instant now);
+    void fetch_missing_records();
+    [[nodiscard]] auto digest_header() -> direct::peer_message;
     [[nodiscard]] auto own_identity() const -> direct::peer_digest;
     [[nodiscard]] auto full_digest() -> direct::peer_message;
     [[nodiscard]] auto delta_digest(std::uint64_t since) -> direct::peer_message;
@@ -108,31 +109,31 @@
     void schedule_flush();
     void flush_relay();
     void update_relay(instant now);
-    void decide_soon();
-    void decide();
+    void schedule_dispatch();
+    void dispatch_calls();
     void tick();
-    void count_gateways();
+    void update_gateway_count();
     void schedule_tick();
     void wait_for_signals();
     void reload();
-    void begin_stop();
-    void stop_accepting();
-    void end_if_done();
-    void end();
+    void begin_shutdown();
+    void stop_accepting_requests();
+    void stop_loop_if_done();
+    void finish_shutdown();
     [[nodiscard]] auto ready() const -> bool;
-    void note_ready();
+    void update_readiness();
 
     boost::asio::io_context& loop_;
     loop_timers timers_;
     direct_gateway_settings settings_;
     platform_adapter platform_;
     record_source& source_;
-    settings_reader reread_;
+    settings_reader reload_settings_;
     gateway_metrics metrics_;
     direct::fleet_records records_;
     direct::upstream_list fleet_;
     direct::call_dispatcher dispatcher_;
-    direct::client_retry_detector returns_;
+    direct::client_retry_detector retry_detector_;
     direct::peer_table peers_;
     direct::gossip_relay relay_;
     exchange_context context_;
@@ -144,7 +145,7 @@
     status_pages status_;
     std::unordered_map<std::uint64_t, std::shared_ptr<exchange>> exchanges_;
     std::unordered_set<std::shared_ptr<caller_session>> sessions_;
-    std::string start_name_;
+    std::string incarnation_name_;
     std::uint64_t next_exchange_ = 0;
     std::uint64_t fetches_failed_ = 0;
     std::uint64_t digest_sequence_ = 0;
@@ -155,12 +156,12 @@
     instant source_read_at_{};
     instant behind_since_{};
     direct::source_outage outage_;
-    bool decide_pending_ = false;
-    bool was_ready_ = false;
+    bool dispatch_scheduled_ = false;
+    bool reported_ready_ = false;
     bool stopping_ = false;
-    bool accepts_callers_ = false;
-    bool accepting_ = true;
-    instant stop_begun_{};
+    bool accept_loop_started_ = false;
+    bool accepts_requests_ = true;
+    instant shutdown_started_at_{};
 };
 
 } // namespace dragonflymill::edge
--- a/src/edge/exchange.h
+++ b/src/edge/exchange.h
@@ -21,24 +21,26 @@
 
 namespace dragonflymill::edge {
 
-/// What exchanges share.
+/// Services that all exchanges of a gateway share.
 struct exchange_context
 {
-    boost::asio::io_context& loop;           ///< The event loop.
-    loop_timers& timers;                     ///< Its timers.
-    const header_names& names;               ///< Of the outside systems.
-    const upstream_orders& orders;           ///< How engines are told to set memory aside.
-    direct::call_dispatcher& dispatcher;     ///< Decides where calls go.
-    direct::client_retry_detector& returns;  ///< Tells returning callers.
-    const direct::upstream_list& fleet;      ///< Configuration and upstreams.
-    const direct::fleet_records& records;    ///< For the revision in log lines.
-    gateway_metrics& metrics;                ///< Counts.
-    std::function<void()> decide_soon;       ///< Asks for a round of decisions.
-    std::function<void(std::uint64_t)> over; ///< An exchange has ended.
+    boost::asio::io_context& loop;                  ///< Event loop.
+    loop_timers& timers;                            ///< Timers of the loop.
+    const header_names& names;                      ///< Header field names of the deployment.
+    const upstream_orders& orders;                  ///< Encoders of KV cache reservations.
+    direct::call_dispatcher& dispatcher;            ///< Queue of calls and choice of upstreams.
+    direct::client_retry_detector& retry_detector;  ///< Detects retries by callers.
+    const direct::upstream_list& fleet;             ///< Configuration and known upstreams.
+    const direct::fleet_records& records;           ///< Source of the revision in log lines.
+    gateway_metrics& metrics;                       ///< Counters and histograms.
+    std::function<void()> schedule_dispatch;        ///< Schedules a dispatch round.
+    std::function<void(std::uint64_t)> on_finished; ///< Called with an exchange's id when it has ended.
 };
 
-/// One request of a caller, from its arrival to its answer, over all attempts.
-class exchange : public open_request, public answer_receiver, public std::enable_shared_from_this<exchange>
+/// One request of a caller from its arrival to the end of its response, over all attempts at upstreams.
+class exchange : public in_flight_request,
+                 public response_handler,
+                 public std::enable_shared_from_this<exchange>
 {
 public:
     exchange(std::uint64_t id, const std::shared_ptr<caller_session>& session, caller_request request,
@@ -47,60 +49,60 @@
     exchange(const exchange&) = delete;
     auto operator=(const exchange&) -> exchange& = delete;
 
-    /// Checks the request and lets it wait for an upstream, or answers it at once.
+    /// Checks the request and queues it for dispatch, or refuses it at once.
     void begin();
-    /// It goes to an upstream now.
-    void dispatched(const direct::dispatch_assignment& order);
-    /// It can't be served.
-    void refused(const direct::dispatch_refusal& refusal);
-    /// The process stops now: ends it as it is. A caller whose request has not run is asked to come back
-    /// after `retry_after`.
-    void stop(duration retry_after);
+    /// Starts an attempt at the assigned upstream.
+    void on_dispatched(const direct::dispatch_assignment& assignment);
+    /// Ends the exchange, as the dispatcher can't serve it.
+    void on_refused(const direct::dispatch_refusal& refusal);
+    /// Ends the exchange in its current state, as the process stops. A caller whose request hasn't run is
+    /// told to retry after `retry_after`.
+    void abort(duration retry_after);
 
-    void caller_left() override;
-    auto answer_head_came(const answer_head& head) -> bool override;
-    void answer_body_came(const std::string& bytes) override;
-    void answer_completed() override;
-    void answer_failed(direct::attempt_end end, const std::string& why) override;
+    void on_caller_disconnected() override;
+    auto on_response_head(const response_head& head) -> bool override;
+    void on_response_body(const std::string& bytes) override;
+    void on_response_complete() override;
+    void on_response_failed(direct::attempt_end end, const std::string& why) override;
 
 private:
-    enum class answer_mode
+    enum class response_mode
     {
-        none,     ///< No head yet.
-        whole,    ///< The body is gathered and passed on when it is complete.
-        events,   ///< A stream, passed on event by event.
-        rejected, ///< The upstream has not run the request.
+        none,     ///< No head has been received.
+        buffered, ///< The body is buffered and forwarded when it is complete.
+        events,   ///< An event stream, forwarded event by event.
+        rejected, ///< The upstream states that it hasn't run the request.
     };
 
-    /// Finds the route and the account; refuses the request and returns false if it has none.
+    /// Finds the request's route and account; refuses the request and returns false on failure.
     auto find_route() -> bool;
     [[nodiscard]] auto authenticate() -> bool;
-    void set_limit(duration limit);
-    void describe_call(duration limit);
-    void wait_for_upstream();
-    void reserve_memory();
-    void reservation_failed(const std::vector<std::string>& unreachable);
-    [[nodiscard]] auto may_still_send(const direct::dispatch_assignment& order) const -> bool;
+    void start_deadline_timer(duration limit);
+    void fill_queued_call(duration limit);
+    void enqueue();
+    void reserve_kv_cache();
+    void on_reservation_failed(const std::vector<std::string>& unreachable);
+    [[nodiscard]] auto upstream_accepts_work(const direct::dispatch_assignment& assignment) const -> bool;
     void send();
-    [[nodiscard]] auto own_fields(const direct::dispatch_assignment& order, instant now) const
+    [[nodiscard]] auto make_gateway_fields(const direct::dispatch_assignment& assignment, instant now) const
         -> gateway_fields;
     void relay(const std::string& bytes);
-    [[nodiscard]] auto passed_fields() const -> std::vector<header_field>;
-    void pass_head();
+    [[nodiscard]] auto forwarded_fields() const -> std::vector<header_field>;
+    void forward_head();
     [[nodiscard]] auto stall_timeout_for() const -> duration;
-    void watch_stall();
-    void silence(std::uint64_t attempt);
+    void arm_stall_timer();
+    void on_stall_timeout(std::uint64_t attempt);
     void end_attempt(direct::attempt_end end, const std::string& why);
-    [[nodiscard]] auto lost_reader() const -> const direct::prefill_engine*;
-    [[nodiscard]] auto may_have_run() const -> bool { return wait_.attempts.run() > 0; }
+    [[nodiscard]] auto failed_prefill_engine() const -> const direct::prefill_engine*;
+    [[nodiscard]] auto may_have_run() const -> bool { return queued_call_.attempts.run() > 0; }
     [[nodiscard]] auto progress(instant now) const -> direct::request_progress;
     void log_attempt_ended(const std::string& upstream, direct::attempt_end end, const std::string& why,
                            direct::next_step next) const;
-    void take_step(direct::next_step step, const std::string& why);
+    void apply_next_step(direct::next_step step, const std::string& why);
     void release_upstream();
-    void limit_reached();
+    void on_deadline();
     void refuse(unsigned status, const refusal& refused, const std::string& why);
-    void answer_whole();
+    void send_response();
     void log_answered(unsigned status);
     void finish();
 
@@ -111,30 +113,30 @@
     std::shared_ptr<const direct::fleet_config> config_;
     const direct::route_rule* route_ = nullptr;
     const direct::account_rule* account_ = nullptr;
-    std::string request_name_;
+    std::string request_id_;
     instant arrived_{};
-    instant limit_at_{};
-    direct::waiting_call wait_;
-    bool waiting_ = false;
-    bool over_ = false;
+    instant deadline_{};
+    direct::waiting_call queued_call_;
+    bool is_queued_ = false;
+    bool finished_ = false;
 
-    std::shared_ptr<memory_reservation> memory_;
+    std::shared_ptr<memory_reservation> reservation_;
     std::shared_ptr<upstream_call> call_;
-    std::optional<direct::dispatch_assignment> order_;
+    std::optional<direct::dispatch_assignment> assignment_;
     instant sent_at_{};
-    instant heard_at_{};
+    instant last_byte_at_{};
 
-    answer_mode mode_ = answer_mode::none;
-    answer_head head_;
+    response_mode mode_ = response_mode::none;
+    response_head head_;
     std::string body_;
     direct::event_relay relay_;
-    bool answer_begun_ = false;
+    bool response_started_ = false;
     std::size_t events_ = 0;
     std::optional<instant> first_event_at_;
     instant last_event_at_{};
-    duration longest_pause_{};
+    duration max_event_gap_{};
 
-    std::optional<timer_id> limit_timer_;
+    std::optional<timer_id> deadline_timer_;
     std::optional<timer_id> stall_timer_;
 };
 
--- a/src/edge/gateway_metrics.cpp
+++ b/src/edge/gateway_metrics.cpp
@@ -9,8 +9,8 @@
     , refused(registry_->counter(
           {"dragonflymill_refusals_total", "Answers of this gateway's own that say \"not run\""}))
     , failed(registry_->counter({"dragonflymill_own_failures_total", "Other answers of this gateway's own"}))
-    , cut(registry_->counter({"dragonflymill_cut_answers_total", "Answers broken off"}))
-    , left(registry_->counter({"dragonflymill_callers_left_total", "Callers that left early"}))
+    , aborted(registry_->counter({"dragonflymill_cut_answers_total", "Answers broken off"}))
+    , caller_disconnects(registry_->counter({"dragonflymill_callers_left_total", "Callers that left early"}))
     , attempts(registry_->counter({"dragonflymill_attempts_total", "Requests sent to upstreams"}))
     , attempts_failed(registry_->counter(
           {"dragonflymill_failed_attempts_total", "Of these, the ones without an answer to pass on"}))
@@ -18,10 +18,10 @@
     , waiting(registry_->gauge({"dragonflymill_waiting_requests", "Requests that wait for an upstream"}))
     , config_version(registry_->gauge({"dragonflymill_config_version", "Configuration in force"}))
     , gateways(registry_->gauge({"dragonflymill_gateways_known", "Gateways known, this one included"}))
-    , first_answer(registry_->histogram({"dragonflymill_first_answer_seconds",
-                                         "Seconds from arrival to the first byte of an answer's body"},
-                                        second_buckets))
-    , whole_answer(registry_->histogram(
+    , time_to_first_event(registry_->histogram({"dragonflymill_first_answer_seconds",
+                                                "Seconds from arrival to the first byte of an answer's body"},
+                                               second_buckets))
+    , response_time(registry_->histogram(
           {"dragonflymill_whole_answer_seconds", "Seconds from arrival to the end of an answer"},
           second_buckets))
 {
--- a/src/edge/header_names.h
+++ b/src/edge/header_names.h
@@ -9,32 +9,34 @@
 
 namespace dragonflymill::edge {
 
-/// An engine that reads a part of another one's prompt.
-struct helper_reference
+/// An engine that prefills a part of another engine's prompt.
+struct prefill_engine_reference
 {
-    std::string address;     ///< IP and port.
-    std::string reservation; ///< Name of the memory reserved there; empty without one.
+    std::string address;     ///< Address as IP:PORT.
+    std::string reservation; ///< Name of the KV cache reservation there; empty if none.
 
-    friend auto operator==(const helper_reference&, const helper_reference&) -> bool = default;
+    friend auto operator==(const prefill_engine_reference&, const prefill_engine_reference&)
+        -> bool = default;
 };
 
-/// Names of the header fields by which callers, gateways and upstreams tell each other about a request. They
-/// belong to the outside systems; the adapter of a deployment fills them in.
+/// Names of the header fields that carry metadata of a request between callers, gateways and upstreams. They
+/// are defined by the external systems; a deployment's adapter fills them in.
 struct header_names
 {
-    std::string request_id;        ///< Unique for each try of a caller; upstreams echo it.
-    std::string time_left_ms;      ///< For how many milliseconds the answer is still wanted.
-    std::string account;           ///< Client account, told to upstreams.
-    std::string expected_upstream; ///< Id of the only upstream that may run the request.
-    std::string not_run;           ///< In an upstream's answer: it has not run the request and won't.
-    std::string at_fault;          ///< In a refusal: the upstream that caused it, by id or address.
-    std::string token_counts; ///< Tokens of the prompt and most tokens of the answer, with a comma between.
-    std::string helpers;      ///< Engines that read a part of the prompt.
-    std::string engine_priority; ///< Order of admission at an engine.
-    std::string resume_after;    ///< Last event that the caller has.
-    std::string account_key;     ///< Key of the client account.
-    std::string key_scheme;      ///< Word before the key, with its space.
-    std::string ready_path;      ///< Path at which the balancer asks whether callers may come.
+    std::string request_id;   ///< Unique per attempt of a caller; upstreams echo it.
+    std::string time_left_ms; ///< Remaining time until the deadline, in milliseconds.
+    std::string account;      ///< Client account, sent to upstreams.
+    std::string
+        expected_upstream;       ///< Id of the only upstream that may run the request; others must reject it.
+    std::string not_run;         ///< In a response: the upstream hasn't run the request and won't.
+    std::string failed_upstream; ///< In a rejection: the upstream that caused it, by id or address.
+    std::string token_counts;    ///< Prompt tokens and maximum answer tokens, separated by a comma.
+    std::string prefill_engines; ///< Engines that prefill a part of the prompt.
+    std::string engine_priority; ///< Admission priority at an engine.
+    std::string resume_after;    ///< Id of the last event that the caller has received.
+    std::string account_key;     ///< API key of the client account.
+    std::string auth_scheme;     ///< Authentication scheme before the key, including the space.
+    std::string ready_path;      ///< Path of the load balancer's readiness check.
 };
 
 } // namespace dragonflymill::edge
--- a/src/edge/loop_timers.cpp
+++ b/src/edge/loop_timers.cpp
@@ -16,7 +16,7 @@
 auto loop_timers::at(instant at, std::function<void()> action) -> timer_id
 {
     auto subscribed = service_.subscribe(at, std::move(action));
-    DRAGONFLYMILL_ASSERT(subscribed.has_value(), "subscriptions are bounded by connections");
+    DRAGONFLYMILL_ASSERT(subscribed.has_value(), "pending timers are bounded by the number of connections");
     arm();
     return subscribed.value();
 }
@@ -29,8 +29,8 @@
 void loop_timers::arm()
 {
     const auto next = service_.next();
-    // A timer that fires early finds nothing due and arms itself anew; that is cheaper than moving it with
-    // every cancelled subscription.
+    // A timer whose callback was cancelled fires early, finds nothing due and is armed again. That is cheaper
+    // than moving it at every cancellation.
     if (!next || *next >= armed_for_) {
         return;
     }
--- a/src/edge/loop_timers.h
+++ b/src/edge/loop_timers.h
@@ -8,23 +8,22 @@
 
 namespace dragonflymill::edge {
 
-/// The timer service of an event loop: parts subscribe actions to moments; one timer of the loop serves all.
+/// Timer service of an event loop. Multiplexes all callbacks onto a single timer of the loop.
 class loop_timers
 {
 public:
-    /// Runs on this loop.
     explicit loop_timers(boost::asio::io_context& loop);
 
-    /// Calls `action` at `at`; later if the process was paused.
+    /// Calls `action` at `at`, or later if the loop was busy or the process paused.
     auto at(instant at, std::function<void()> action) -> timer_id;
-    /// Ends a subscription; harmless after it expired.
+    /// Cancels a callback; no effect if it has already run.
     void cancel(timer_id id);
 
 private:
     void arm();
     void run_expired();
 
-    /// Subscriptions at once: some four for each of the connections that the descriptors allow.
+    /// Maximum number of pending callbacks: about four per connection at the limit of file descriptors.
     static constexpr std::size_t capacity = 65'536;
 
     boost::asio::steady_timer timer_;
--- a/src/edge/memory_reservation.cpp
+++ b/src/edge/memory_reservation.cpp
@@ -12,8 +12,9 @@
 
 } // namespace
 
-/// One order on its way; keeps itself alive until it is answered or given up.
-class memory_reservation::order_call : public answer_receiver, public std::enable_shared_from_this<order_call>
+/// An order in flight; keeps itself alive until it is answered or times out.
+class memory_reservation::order_call : public response_handler,
+                                       public std::enable_shared_from_this<order_call>
 {
 public:
     order_call(boost::asio::io_context& loop, loop_timers& timers, std::function<void(order_end)> done)
@@ -25,27 +26,27 @@
 
     void start(const std::string& address, std::string request)
     {
-        timer_ = timers_.at(runtime::now() + order_limit, [self = shared_from_this()] {
+        timer_ = timers_.at(runtime::now() + order_timeout, [self = shared_from_this()] {
             self->timer_.reset();
             self->end(order_end::refused);
         });
         call_->start(address, std::move(request), false);
     }
 
-    auto answer_head_came(const answer_head& head) -> bool override
+    auto on_response_head(const response_head& head) -> bool override
     {
         status_ = head.status;
         return true;
     }
-    void answer_body_came(const std::string& /*bytes*/) override {}
-    void answer_completed() override { end(status_ == status_ok ? order_end::done : order_end::refused); }
-    void answer_failed(direct::attempt_end end, const std::string& /*why*/) override
+    void on_response_body(const std::string& /*bytes*/) override {}
+    void on_response_complete() override { end(status_ == status_ok ? order_end::done : order_end::refused); }
+    void on_response_failed(direct::attempt_end end, const std::string& /*why*/) override
     {
         this->end(end == direct::attempt_end::not_sent ? order_end::unreachable : order_end::refused);
     }
 
 private:
-    void end(order_end ended)
+    void end(order_end outcome)
     {
         const auto self = shared_from_this();
         call_->cancel();
@@ -54,7 +55,7 @@
             timer_.reset();
         }
         if (const auto done = std::exchange(done_, nullptr)) {
-            done(ended);
+            done(outcome);
         }
     }
 
@@ -91,27 +92,29 @@
 
 void memory_reservation::send_all()
 {
-    waiting_ += pieces_.size();
+    pending_orders_ += pieces_.size();
     for (const piece& part : pieces_) {
-        const auto call = std::make_shared<order_call>(
-            loop_, timers_, [self = shared_from_this(), part](order_end end) { self->answered(part, end); });
-        call->start(part.address, orders_.reserve({part.address, name_, part.tokens, hold}));
+        const auto call =
+            std::make_shared<order_call>(loop_, timers_, [self = shared_from_this(), part](order_end end) {
+                self->on_order_finished(part, end);
+            });
+        call->start(part.address, orders_.reserve({part.address, name_, part.tokens, lease_time}));
     }
 }
 
-void memory_reservation::answered(const piece& part, order_end end)
+void memory_reservation::on_order_finished(const piece& part, order_end end)
 {
-    --waiting_;
-    outcome_.held = outcome_.held && end == order_end::done;
+    --pending_orders_;
+    outcome_.succeeded = outcome_.succeeded && end == order_end::done;
     if (end == order_end::unreachable) {
         outcome_.unreachable.push_back(part.address);
     }
-    if (waiting_ > 0 || released_ || !done_) {
+    if (pending_orders_ > 0 || released_ || !done_) {
         return;
     }
     const handler done = std::exchange(done_, nullptr);
-    if (outcome_.held) {
-        renew();
+    if (outcome_.succeeded) {
+        schedule_renewal();
     }
     else {
         release();
@@ -119,7 +122,7 @@
     done(outcome_);
 }
 
-void memory_reservation::renew()
+void memory_reservation::schedule_renewal()
 {
     renew_timer_ = timers_.at(runtime::now() + renew_interval, [weak = weak_from_this()] {
         const auto self = weak.lock();
@@ -128,7 +131,7 @@
         }
         self->renew_timer_.reset();
         self->send_all();
-        self->renew();
+        self->schedule_renewal();
     });
 }
 
@@ -142,7 +145,7 @@
         renew_timer_.reset();
     }
     for (const piece& part : pieces_) {
-        // A release that is lost is made up for by the end of the lease.
+        // If the release is lost, the lease expires.
         const auto call = std::make_shared<order_call>(loop_, timers_, [](order_end) {});
         call->start(part.address, orders_.release({part.address, name_}));
     }
--- a/src/edge/memory_reservation.h
+++ b/src/edge/memory_reservation.h
@@ -12,30 +12,30 @@
 
 namespace dragonflymill::edge {
 
-/// Memory of several engines that one call holds: all of it or none.
+/// KV cache reserved at several engines for one call: all pieces or none.
 ///
-/// Each piece is a short lease that the gateway renews while the call runs, so that the memory comes back by
-/// itself when the gateway dies, when a release is lost, and when an engine carries an order out late. No
-/// piece is waited for: a call that doesn't get all pieces gives the others back, so two gateways that want
-/// the same engines can't wait for each other for good.
+/// Each piece is a short lease that the gateway renews while the call runs. The memory is therefore freed
+/// when the gateway dies, when a release is lost, or when an engine executes an order late. A call that
+/// doesn't get all pieces at once releases the others instead of waiting, so gateways that compete for the
+/// same engines can't deadlock.
 class memory_reservation : public std::enable_shared_from_this<memory_reservation>
 {
 public:
-    /// One engine's part.
+    /// Reservation at one engine.
     struct piece
     {
-        std::string address;     ///< Engine.
-        std::int64_t tokens = 0; ///< How much of its memory.
+        std::string address;     ///< Address of the engine.
+        std::int64_t tokens = 0; ///< KV cache to reserve, in tokens.
     };
-    /// What became of a reservation.
+    /// Result of a reservation.
     struct outcome
     {
-        bool held = false;                    ///< Whether all pieces are.
-        std::vector<std::string> unreachable; ///< Addresses of engines that could not be reached.
+        bool succeeded = false;               ///< Whether all pieces are reserved.
+        std::vector<std::string> unreachable; ///< Addresses of engines that couldn't be reached.
 
         friend auto operator==(const outcome&, const outcome&) -> bool = default;
     };
-    /// Called once.
+    /// Called once with the result.
     using handler = std::function<void(const outcome&)>;
 
     memory_reservation(boost::asio::io_context& loop, loop_timers& timers, const upstream_orders& orders,
@@ -44,20 +44,20 @@
     memory_reservation(const memory_reservation&) = delete;
     auto operator=(const memory_reservation&) -> memory_reservation& = delete;
 
-    /// Asks for all pieces.
+    /// Sends the reservations; calls `done` when all engines have replied or timed out.
     void start(handler done);
-    /// Gives everything back.
+    /// Releases all pieces.
     void release();
-    /// Name under which the pieces are held.
+    /// Name of the reservation at the engines.
     [[nodiscard]] auto name() const -> const std::string& { return name_; }
 
-    /// Length of the lease. Engines may carry an unanswered order out twelve seconds late; memory that is
-    /// then held for nobody is free again after this.
-    static constexpr duration hold = 3s;
-    /// Renewed three times within the lease, so that one lost order does no cost.
+    /// Length of the lease. Engines may execute an unanswered order up to twelve seconds late; this bounds
+    /// how long such an orphaned reservation lasts.
+    static constexpr duration lease_time = 3s;
+    /// A third of the lease, so that a lost renewal is followed by another one in time.
     static constexpr duration renew_interval = 1s;
-    /// An engine answers an order within a few milliseconds; one that takes longer is given up.
-    static constexpr duration order_limit = 300ms;
+    /// Engines answer an order within a few milliseconds; one that takes longer counts as refused.
+    static constexpr duration order_timeout = 300ms;
 
 private:
     class order_call;
@@ -68,8 +68,8 @@
         unreachable,
     };
 
-    void answered(const piece& part, order_end end);
-    void renew();
+    void on_order_finished(const piece& part, order_end end);
+    void schedule_renewal();
     void send_all();
 
     boost::asio::io_context& loop_;
@@ -78,7 +78,7 @@
     std::string name_;
     std::vector<piece> pieces_;
     handler done_;
-    std::size_t waiting_ = 0;
+    std::size_t pending_orders_ = 0;
     outcome outcome_{true, {}};
     bool released_ = false;
     std::optional<timer_id> renew_timer_;
--- a/src/edge/peer_codec.cpp
+++ b/src/edge/peer_codec.cpp
@@ -101,12 +101,12 @@
     return datagram;
 }
 
-auto encode_extract(const direct::records_update& extract) -> std::string
+auto encode_records_update(const direct::records_update& update) -> std::string
 {
     wire::RecordsReply reply;
-    reply.set_as_of(extract.as_of);
-    reply.set_whole(extract.whole);
-    for (const direct::fleet_record& record : extract.records) {
+    reply.set_as_of(update.as_of);
+    reply.set_whole(update.whole);
+    for (const direct::fleet_record& record : update.records) {
         wire::FleetRecord& encoded = *reply.add_records();
         encoded.set_key(record.key);
         encoded.set_value(record.value);
@@ -116,19 +116,19 @@
     return reply.SerializeAsString();
 }
 
-auto decode_extract(std::string_view bytes) -> std::optional<direct::records_update>
+auto decode_records_update(std::string_view bytes) -> std::optional<direct::records_update>
 {
     wire::RecordsReply reply;
     if (!reply.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
         return std::nullopt;
     }
-    direct::records_update extract;
-    extract.as_of = reply.as_of();
-    extract.whole = reply.whole();
+    direct::records_update update;
+    update.as_of = reply.as_of();
+    update.whole = reply.whole();
     for (const wire::FleetRecord& encoded : reply.records()) {
-        extract.records.push_back({encoded.key(), encoded.value(), encoded.revision(), encoded.removed()});
+        update.records.push_back({encoded.key(), encoded.value(), encoded.revision(), encoded.removed()});
     }
-    return extract;
+    return update;
 }
 
 } // namespace dragonflymill::edge
--- a/src/edge/peer_codec.h
+++ b/src/edge/peer_codec.h
@@ -9,13 +9,13 @@
 
 namespace dragonflymill::edge {
 
-/// Writes a datagram between gateways.
+/// Encodes a datagram between gateways.
 [[nodiscard]] auto encode_datagram(const direct::peer_datagram& datagram) -> std::string;
-/// Reads a datagram; nothing if it isn't one of ours.
+/// Decodes a datagram; `nullopt` if it is malformed, empty or names no gateway.
 [[nodiscard]] auto decode_datagram(std::string_view bytes) -> std::optional<direct::peer_datagram>;
-/// Writes records as one gateway hands them to another.
-[[nodiscard]] auto encode_extract(const direct::records_update& extract) -> std::string;
-/// Reads them.
-[[nodiscard]] auto decode_extract(std::string_view bytes) -> std::optional<direct::records_update>;
+/// Encodes a records update for another gateway.
+[[nodiscard]] auto encode_records_update(const direct::records_update& update) -> std::string;
+/// Decodes a records update; `nullopt` if it is malformed.
+[[nodiscard]] auto decode_records_update(std::string_view bytes) -> std::optional<direct::records_update>;
 
 } // namespace dragonflymill::edge
--- a/src/edge/peer_link.cpp
+++ b/src/edge/peer_link.cpp
@@ -21,10 +21,10 @@
 
 namespace {
 
-/// Frames between gateways: a length in four bytes, most significant first, and a message.
+/// Frames between gateways consist of a big-endian length of four bytes and a message.
 constexpr std::size_t length_bytes = 4;
-/// Longest frame: some thousand records of a few hundred bytes and a configuration of a megabyte.
-constexpr std::uint32_t max_frame = 16'777'216;
+/// Allows for some thousand records of a few hundred bytes and a configuration of a megabyte.
+constexpr std::uint32_t max_frame_bytes = 16'777'216;
 
 auto framed(const std::string& message) -> std::string
 {
@@ -51,41 +51,41 @@
 
 } // namespace
 
-/// Answers one question of a peer.
-class peer_link::serving : public std::enable_shared_from_this<peer_link::serving>
+/// Serves one fetch of a peer.
+class peer_link::fetch_responder : public std::enable_shared_from_this<peer_link::fetch_responder>
 {
 public:
-    serving(tcp::socket socket, loop_timers& timers, handlers& taken)
+    fetch_responder(tcp::socket socket, loop_timers& timers, handlers& callbacks)
         : socket_(std::move(socket))
         , timers_(timers)
-        , handlers_(taken)
+        , handlers_(callbacks)
     {
     }
 
     void start()
     {
-        prepare_socket(socket_);
-        timer_ = timers_.at(runtime::now() + fetch_limit, [weak = weak_from_this()] {
+        set_socket_options(socket_);
+        timer_ = timers_.at(runtime::now() + fetch_timeout, [weak = weak_from_this()] {
             if (const auto self = weak.lock()) {
-                boost::system::error_code ignored; // the peer asks again elsewhere
+                boost::system::error_code ignored; // the peer retries with another gateway
                 self->socket_.close(ignored);
             }
         });
         asio::async_read(socket_, asio::buffer(head_),
                          [self = shared_from_this()](const boost::system::error_code& failed, std::size_t) {
-                             if (!failed && length_of(self->head_) <= max_question) {
-                                 self->read_question();
+                             if (!failed && length_of(self->head_) <= max_request_bytes) {
+                                 self->read_request();
                              }
                          });
     }
 
 private:
-    static constexpr std::uint32_t max_question = 64;
+    static constexpr std::uint32_t max_request_bytes = 64;
 
-    void read_question()
+    void read_request()
     {
-        question_.resize(length_of(head_));
-        asio::async_read(socket_, asio::buffer(question_),
+        request_.resize(length_of(head_));
+        asio::async_read(socket_, asio::buffer(request_),
                          [self = shared_from_this()](const boost::system::error_code& failed, std::size_t) {
                              if (!failed) {
                                  self->answer();
@@ -95,11 +95,11 @@
 
     void answer()
     {
-        const auto question = parsed<wire::RecordsRequest>(question_);
-        if (!question) {
+        const auto request = parsed<wire::RecordsRequest>(request_);
+        if (!request) {
             return;
         }
-        reply_ = framed(encode_extract(handlers_.records_since(question->after())));
+        reply_ = framed(encode_records_update(handlers_.records_since(request->after())));
         asio::async_write(socket_, asio::buffer(reply_),
                           [self = shared_from_this()](const boost::system::error_code&, std::size_t) {
                               self->timers_.cancel(*self->timer_);
@@ -110,50 +110,50 @@
     loop_timers& timers_;
     handlers& handlers_;
     std::array<char, length_bytes> head_{};
-    std::string question_;
+    std::string request_;
     std::string reply_;
     std::optional<timer_id> timer_;
 };
 
-/// Puts one question to a peer.
-class peer_link::asking : public std::enable_shared_from_this<peer_link::asking>
+/// Fetches records from a peer.
+class peer_link::fetch_request : public std::enable_shared_from_this<peer_link::fetch_request>
 {
 public:
-    asking(peer_link& link, std::string address, std::uint64_t after)
+    fetch_request(peer_link& link, std::string address, std::uint64_t after)
         : link_(link)
         , socket_(link.loop_)
         , address_(std::move(address))
     {
         wire::RecordsRequest request;
         request.set_after(after);
-        question_ = framed(request.SerializeAsString());
+        request_ = framed(request.SerializeAsString());
     }
 
     void start()
     {
-        const auto where = parse_tcp_endpoint(address_);
-        timer_ = link_.timers_.at(runtime::now() + fetch_limit, [self = shared_from_this()] {
+        const auto endpoint = parse_tcp_endpoint(address_);
+        timer_ = link_.timers_.at(runtime::now() + fetch_timeout, [self = shared_from_this()] {
             self->timer_.reset();
             self->end("no answer within its limit");
         });
-        if (!where) {
+        if (!endpoint) {
             end("its address can't be read");
             return;
         }
-        socket_.async_connect(where.value(),
+        socket_.async_connect(endpoint.value(),
                               [self = shared_from_this()](const boost::system::error_code& refused) {
-                                  refused ? self->end(refused.message()) : self->ask();
+                                  refused ? self->end(refused.message()) : self->send_request();
                               });
     }
 
 private:
-    void ask()
+    void send_request()
     {
-        if (over_) {
+        if (finished_) {
             return;
         }
-        prepare_socket(socket_);
-        asio::async_write(socket_, asio::buffer(question_),
+        set_socket_options(socket_);
+        asio::async_write(socket_, asio::buffer(request_),
                           [self = shared_from_this()](const boost::system::error_code& failed, std::size_t) {
                               failed ? self->end(failed.message()) : self->read_head();
                           });
@@ -163,7 +163,7 @@
     {
         asio::async_read(socket_, asio::buffer(head_),
                          [self = shared_from_this()](const boost::system::error_code& failed, std::size_t) {
-                             const bool usable = !failed && length_of(self->head_) <= max_frame;
+                             const bool usable = !failed && length_of(self->head_) <= max_frame_bytes;
                              usable ? self->read_reply() : self->end("the answer can't be read");
                          });
     }
@@ -179,18 +179,18 @@
 
     void end(const std::string& why)
     {
-        if (std::exchange(over_, true)) {
+        if (std::exchange(finished_, true)) {
             return;
         }
         if (timer_) {
             link_.timers_.cancel(*timer_);
         }
-        boost::system::error_code ignored; // the question is over either way
+        boost::system::error_code ignored; // the fetch has ended either way
         socket_.close(ignored);
         link_.fetching_ = false;
-        const auto extract = why.empty() ? decode_extract(reply_) : std::nullopt;
-        if (extract) {
-            link_.handlers_.on_records(*extract, address_);
+        const auto update = why.empty() ? decode_records_update(reply_) : std::nullopt;
+        if (update) {
+            link_.handlers_.on_records(*update, address_);
         }
         else {
             link_.handlers_.on_fetch_failed(why.empty() ? "the answer can't be decoded" : why);
@@ -200,17 +200,17 @@
     peer_link& link_;
     tcp::socket socket_;
     std::string address_;
-    std::string question_;
+    std::string request_;
     std::string reply_;
     std::array<char, length_bytes> head_{};
     std::optional<timer_id> timer_;
-    bool over_ = false;
+    bool finished_ = false;
 };
 
-peer_link::peer_link(asio::io_context& loop, loop_timers& timers, handlers taken)
+peer_link::peer_link(asio::io_context& loop, loop_timers& timers, handlers callbacks)
     : loop_(loop)
     , timers_(timers)
-    , handlers_(std::move(taken))
+    , handlers_(std::move(callbacks))
     , datagrams_(loop)
     , acceptor_(loop)
 {
@@ -220,14 +220,14 @@
 
 auto peer_link::listen(const socket_address& address) -> result<void>
 {
-    const auto where = udp_endpoint(address);
-    if (!where) {
-        return where.error();
+    const auto endpoint = udp_endpoint(address);
+    if (!endpoint) {
+        return endpoint.error();
     }
     boost::system::error_code failed;
-    datagrams_.open(where.value().protocol(), failed);
+    datagrams_.open(endpoint.value().protocol(), failed);
     if (!failed) {
-        datagrams_.bind(where.value(), failed);
+        datagrams_.bind(endpoint.value(), failed);
     }
     if (failed) {
         return error(error_kind::unavailable,
@@ -250,7 +250,8 @@
             if (failed == asio::error::operation_aborted) {
                 return;
             }
-            // An error here tells of an earlier datagram that could not be delivered; nothing is lost by it.
+            // An error here reports that an earlier datagram couldn't be delivered; it affects no received
+            // one.
             if (!failed) {
                 if (const auto datagram = decode_datagram({buffer_.data(), bytes})) {
                     handlers_.on_datagram(*datagram);
@@ -267,7 +268,7 @@
             return;
         }
         if (!failed) {
-            std::make_shared<serving>(std::move(socket), timers_, handlers_)->start();
+            std::make_shared<fetch_responder>(std::move(socket), timers_, handlers_)->start();
         }
         accept();
     });
@@ -280,10 +281,10 @@
     }
     const std::string bytes = encode_datagram(datagram);
     for (const std::string& text : addresses) {
-        // A datagram that can't be sent is like one that is lost: the next digest says it again.
-        if (const auto where = parse_udp_endpoint(text)) {
+        // A datagram that can't be sent counts as lost; the next digest repeats its content.
+        if (const auto endpoint = parse_udp_endpoint(text)) {
             boost::system::error_code ignored;
-            datagrams_.send_to(asio::buffer(bytes), where.value(), 0, ignored);
+            datagrams_.send_to(asio::buffer(bytes), endpoint.value(), 0, ignored);
         }
     }
 }
@@ -294,7 +295,7 @@
         return;
     }
     fetching_ = true;
-    std::make_shared<asking>(*this, address, after)->start();
+    std::make_shared<fetch_request>(*this, address, after)->start();
 }
 
 } // namespace dragonflymill::edge
--- a/src/edge/peer_link.h
+++ b/src/edge/peer_link.h
@@ -17,41 +17,42 @@
 
 namespace dragonflymill::edge {
 
-/// The sockets between gateways: datagrams with each one's state, and connections over which one that lacks
-/// published records takes them from another.
+/// Sockets between gateways: UDP for digests, and TCP for fetching published records from a peer that has
+/// newer ones.
 class peer_link
 {
 public:
-    /// What the link tells.
+    /// Callbacks of the link.
     struct handlers
     {
-        std::function<void(const direct::peer_datagram&)> on_datagram;      ///< A datagram came.
-        std::function<direct::records_update(std::uint64_t)> records_since; ///< For a peer that asks.
+        std::function<void(const direct::peer_datagram&)> on_datagram; ///< A valid datagram was received.
+        std::function<direct::records_update(std::uint64_t)>
+            records_since; ///< Records changed after a revision, for a peer's fetch.
         std::function<void(const direct::records_update&, const std::string&)>
-            on_records;                                          ///< A peer answered.
-        std::function<void(const std::string&)> on_fetch_failed; ///< It didn't; why.
+            on_records; ///< A fetch succeeded: records and the peer's address.
+        std::function<void(const std::string&)> on_fetch_failed; ///< A fetch failed: the reason.
     };
 
-    peer_link(boost::asio::io_context& loop, loop_timers& timers, handlers taken);
+    peer_link(boost::asio::io_context& loop, loop_timers& timers, handlers callbacks);
     ~peer_link();
     peer_link(const peer_link&) = delete;
     auto operator=(const peer_link&) -> peer_link& = delete;
 
-    /// Opens both sockets.
+    /// Opens both sockets. Fails if the address can't be listened on.
     [[nodiscard]] auto listen(const socket_address& address) -> result<void>;
-    /// Sends a datagram; a lost one is made up for by the next.
+    /// Sends a datagram to each address, without acknowledgement; the next digest makes up for a lost one.
     void send(const direct::peer_datagram& datagram, const std::vector<std::string>& addresses);
-    /// Asks a peer for all records that changed after a revision. One question is under way at a time.
+    /// Requests all records that changed after a revision from a peer. No effect while a fetch is in flight.
     void fetch(const std::string& address, std::uint64_t after);
-    /// Whether a question is under way.
+    /// Whether a fetch is in flight.
     [[nodiscard]] auto fetching() const -> bool { return fetching_; }
 
-    /// A peer that takes longer is given up and another one asked.
-    static constexpr duration fetch_limit = 800ms;
+    /// A fetch that takes longer fails, and another peer is tried.
+    static constexpr duration fetch_timeout = 800ms;
 
 private:
-    class serving;
-    class asking;
+    class fetch_responder;
+    class fetch_request;
 
     void receive();
     void accept();
--- a/src/edge/record_source.h
+++ b/src/edge/record_source.h
@@ -8,18 +8,19 @@
 
 namespace dragonflymill::edge {
 
-/// Where published records come from first hand. The adapter of a deployment provides it.
+/// Authoritative source of published records. A deployment's adapter provides it.
 class record_source
 {
 public:
-    /// What a source tells.
+    /// Callbacks of a source.
     struct handlers
     {
-        std::function<void(const direct::records_update&)> on_records; ///< Records came.
-        std::function<void(const std::string& why)> on_lost;           ///< It can't be reached or used.
-        std::function<void()> on_regained;                             ///< It answers again.
-        std::function<std::uint64_t()> known_revision;                 ///< From where it is to go on.
-        std::function<bool()> wanted; ///< Whether to read now, or to rest since others read.
+        std::function<void(const direct::records_update&)> on_records; ///< Records were received.
+        std::function<void(const std::string& why)> on_unavailable;    ///< A read failed; for the log.
+        std::function<void()> on_recovered;                            ///< A read succeeded.
+        std::function<std::uint64_t()> known_revision;                 ///< Revision from which to continue.
+        std::function<bool()>
+            should_read; ///< Whether to read now; false while peers read the source instead.
     };
 
     record_source() = default;
@@ -27,11 +28,11 @@
     record_source(const record_source&) = delete;
     auto operator=(const record_source&) -> record_source& = delete;
 
-    /// Begins to read and goes on until `stop`.
-    virtual void start(handlers told) = 0;
-    /// Ends all that is under way.
+    /// Starts reading; continues until `stop`.
+    virtual void start(handlers callbacks) = 0;
+    /// Cancels everything in flight.
     virtual void stop() = 0;
-    /// What a record says.
+    /// Decodes a record.
     [[nodiscard]] virtual auto decode(const direct::fleet_record& record) const -> direct::decoded_record = 0;
 };
 
--- a/src/edge/response_parser.cpp
+++ b/src/edge/response_parser.cpp
@@ -7,7 +7,7 @@
 
 namespace beast_http = boost::beast::http;
 
-auto answer_head::value_of(std::string_view name) const -> std::string_view
+auto response_head::value_of(std::string_view name) const -> std::string_view
 {
     return http::first_value(fields, name);
 }
@@ -44,7 +44,7 @@
     }
     else if (parser_.is_header_done()) {
         state_ = response_state::body;
-        ends_with_connection_ = parser_.need_eof();
+        is_close_delimited_ = parser_.need_eof();
     }
     return state_;
 }
@@ -55,7 +55,7 @@
         return state_;
     }
     boost::beast::error_code failed;
-    if (state_ == response_state::body && ends_with_connection_) {
+    if (state_ == response_state::body && is_close_delimited_) {
         parser_.put_eof(failed);
         state_ = failed ? response_state::invalid : response_state::complete;
         return state_;
--- a/src/edge/response_parser.h
+++ b/src/edge/response_parser.h
@@ -13,62 +13,62 @@
 
 using http::header_field;
 
-/// Head of an upstream's answer.
-struct answer_head
+/// Status line and header fields of an upstream's response.
+struct response_head
 {
-    unsigned status = 0;              ///< Status.
-    std::string reason;               ///< Its text.
-    std::vector<header_field> fields; ///< All fields.
+    unsigned status = 0;              ///< Status code.
+    std::string reason;               ///< Reason phrase.
+    std::vector<header_field> fields; ///< All header fields, in order.
 
-    /// Value of the first field with this name, in any case; empty without one.
+    /// Value of the first field with this name, compared case-insensitively; empty if there is none.
     [[nodiscard]] auto value_of(std::string_view name) const -> std::string_view;
 
-    friend auto operator==(const answer_head&, const answer_head&) -> bool = default;
+    friend auto operator==(const response_head&, const response_head&) -> bool = default;
 };
 
-/// Where an answer stands.
+/// Progress of parsing a response.
 enum class response_state
 {
-    head,     ///< Its head isn't whole yet.
-    body,     ///< The head is there, the body isn't whole yet.
-    complete, ///< It is whole by its own framing.
-    invalid,  ///< It isn't an answer in the protocol, or it broke off.
+    head,     ///< The head is incomplete.
+    body,     ///< The head is complete, the body isn't.
+    complete, ///< The response is complete according to its framing.
+    invalid,  ///< Not valid HTTP/1.1, or truncated.
 };
 
-/// Reads one answer from the bytes of a connection. Knows nothing of sockets.
+/// Incremental parser of a single HTTP/1.1 response. Does no I/O.
 class response_parser
 {
 public:
-    /// `no_body` for the answer to a HEAD request.
+    /// `no_body` is set for the response to a HEAD request, which has no body whatever its framing says.
     explicit response_parser(bool no_body);
 
-    /// Takes the next bytes. Body bytes are appended to `body`.
+    /// Parses the next bytes and appends decoded body bytes to `body`.
     auto take(std::string_view bytes, std::string& body) -> response_state;
-    /// The upstream closed its side in order. An answer without a length is complete then.
+    /// Handles an orderly close by the upstream, which completes a close-delimited response and truncates any
+    /// other.
     auto take_eof() -> response_state;
 
-    /// Where it stands.
     [[nodiscard]] auto state() const -> response_state { return state_; }
-    /// The head; whole from state `body` on.
-    [[nodiscard]] auto head() const -> const answer_head& { return parser_.head; }
-    /// Whether the end of the connection is the end of the answer.
-    [[nodiscard]] auto ends_with_connection() const -> bool { return ends_with_connection_; }
-    /// Whether this is an interim answer, behind which the real one follows.
+    /// Complete from state `body` on.
+    [[nodiscard]] auto head() const -> const response_head& { return parser_.head; }
+    /// Whether the body ends with the connection, as it has neither a length nor chunks.
+    [[nodiscard]] auto is_close_delimited() const -> bool { return is_close_delimited_; }
+    /// Whether this is an interim (1xx) response; the final one follows it.
     [[nodiscard]] auto is_interim() const -> bool { return head().status < first_final_status; }
-    /// Bytes behind a complete answer.
-    [[nodiscard]] auto excess() const -> const std::string& { return rest_; }
+    /// Bytes received after the end of a complete response.
+    [[nodiscard]] auto unparsed_bytes() const -> const std::string& { return rest_; }
 
-    /// Statuses below it announce an answer only.
+    /// Status codes below this one are interim responses.
     static constexpr unsigned first_final_status = 200;
-    /// Longest head of an answer.
+    /// Responses with a longer head are invalid.
     static constexpr std::uint32_t max_head_bytes = 65'536;
 
 private:
-    /// The library's parser, with the answer's parts gathered.
+    /// Beast's parser, collecting the head and appending body bytes to `body`.
     class parser : public boost::beast::http::basic_parser<false>
     {
     public:
-        answer_head head;
+        response_head head;
         std::string* body = nullptr;
 
     private:
@@ -93,7 +93,7 @@
     parser parser_;
     std::string rest_;
     response_state state_ = response_state::head;
-    bool ends_with_connection_ = false;
+    bool is_close_delimited_ = false;
 };
 
 } // namespace dragonflymill::edge
--- a/src/edge/send_queue.cpp
+++ b/src/edge/send_queue.cpp
@@ -20,12 +20,12 @@
     }
     queue_.append(bytes);
     if (!queue_.empty()) {
-        wait_for_room(owner);
+        wait_until_writable(owner);
     }
     return true;
 }
 
-void send_queue::wait_for_room(const std::shared_ptr<void>& owner)
+void send_queue::wait_until_writable(const std::shared_ptr<void>& owner)
 {
     if (writing_) {
         return;
@@ -48,7 +48,7 @@
                                queue_.clear();
                            }
                            else if (!queue_.empty()) {
-                               wait_for_room(owner);
+                               wait_until_writable(owner);
                                return;
                            }
                            if (done_) {
--- a/src/edge/send_queue.h
+++ b/src/edge/send_queue.h
@@ -9,32 +9,32 @@
 
 namespace dragonflymill::edge {
 
-/// Bytes on their way into a socket. Writes at once what the socket takes, since an event of a stream may
-/// wait nowhere, and keeps the rest until there is room.
+/// Send buffer of a socket. Writes as much as the socket accepts immediately, so that stream events aren't
+/// delayed, and queues the rest until the socket is writable.
 class send_queue
 {
 public:
-    /// Called when a write failed, or when all bytes are written.
+    /// Called with true when a write has failed, with false when all queued bytes are written.
     using handler = std::function<void(bool failed)>;
 
-    /// Writes into `socket`, which outlives it; `keep` keeps the owner alive while a write is under way.
+    /// `socket` must outlive the queue.
     explicit send_queue(boost::asio::ip::tcp::socket& socket)
         : socket_(socket)
     {
     }
 
-    /// Sends bytes; `done` is called later if they could not be written at once. Returns false if the
-    /// connection is broken.
+    /// Sends bytes and queues what can't be written at once; `owner` is kept alive while bytes are queued.
+    /// Returns false if the connection is broken.
     [[nodiscard]] auto send(std::string_view bytes, const std::shared_ptr<void>& owner) -> bool;
-    /// Sets what is called when queued bytes are written or lost.
+    /// Sets the handler that is called when queued bytes are written or lost.
     void on_done(handler done) { done_ = std::move(done); }
-    /// Bytes that wait.
-    [[nodiscard]] auto waiting() const -> std::size_t { return queue_.size(); }
-    /// Whether any byte was taken by the socket.
+    /// Number of queued bytes.
+    [[nodiscard]] auto unsent_bytes() const -> std::size_t { return queue_.size(); }
+    /// Whether the socket has accepted any byte.
     [[nodiscard]] auto any_sent() const -> bool { return sent_ > 0; }
 
 private:
-    void wait_for_room(const std::shared_ptr<void>& owner);
+    void wait_until_writable(const std::shared_ptr<void>& owner);
 
     boost::asio::ip::tcp::socket& socket_;
     std::string queue_;
--- a/src/edge/socket_options.cpp
+++ b/src/edge/socket_options.cpp
@@ -5,9 +5,9 @@
 
 namespace dragonflymill::edge {
 
-void prepare_socket(boost::asio::ip::tcp::socket& socket)
+void set_socket_options(boost::asio::ip::tcp::socket& socket)
 {
-    // An option that can't be set leaves the connection usable; its other bounds still hold.
+    // The connection stays usable if an option can't be set; the other limits still apply.
     boost::system::error_code ignored;
     socket.non_blocking(true, ignored);
     socket.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
@@ -16,10 +16,10 @@
     using keep_interval = boost::asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPINTVL>;
     using keep_count = boost::asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPCNT>;
     socket.set_option(boost::asio::socket_base::keep_alive(true), ignored);
-    socket.set_option(keep_idle(probe_after_s), ignored);
-    socket.set_option(keep_interval(probe_interval_s), ignored);
-    socket.set_option(keep_count(probes), ignored);
-    const auto limit_ms = std::chrono::duration_cast<std::chrono::milliseconds>(unacknowledged_limit).count();
+    socket.set_option(keep_idle(keepalive_idle_s), ignored);
+    socket.set_option(keep_interval(keepalive_interval_s), ignored);
+    socket.set_option(keep_count(keepalive_probe_count), ignored);
+    const auto limit_ms = std::chrono::duration_cast<std::chrono::milliseconds>(tcp_user_timeout).count();
     socket.set_option(user_timeout(static_cast<int>(limit_ms)), ignored);
 }
 
--- a/src/edge/socket_options.h
+++ b/src/edge/socket_options.h
@@ -6,19 +6,18 @@
 
 namespace dragonflymill::edge {
 
-/// Bytes that the other side does not acknowledge for so long end a connection. Guards against a path that
-/// went silent: without it, a write waits for the kernel's own quarter of an hour.
-inline constexpr duration unacknowledged_limit = 2500ms;
+/// A connection is closed when sent bytes stay unacknowledged for this long. Without this limit, a write on a
+/// dead network path would wait for the kernel's default of a quarter of an hour.
+inline constexpr duration tcp_user_timeout = 2500ms;
 
-/// A connection on which nothing came for so long is asked whether the other side is still there. Guards
-/// against a host that lost power while we wait for its answer: nothing is unacknowledged then, and nothing
-/// would end the wait, nor give back the engine memory that is held for it.
-inline constexpr int probe_after_s = 1;
-inline constexpr int probe_interval_s = 1; ///< Between two such questions.
-inline constexpr int probes = 2;           ///< Unanswered questions that end the connection.
+/// Idle time before the first TCP keepalive probe. Keepalive detects a host that loses power while its
+/// response is awaited: no sent bytes are unacknowledged then, and nothing else would end the wait or release
+/// the KV cache reserved for it.
+inline constexpr int keepalive_idle_s = 1;
+inline constexpr int keepalive_interval_s = 1;  ///< Time between two probes.
+inline constexpr int keepalive_probe_count = 2; ///< Unanswered probes that end the connection.
 
-/// Sets what all our connections need: no delay of small writes, a bound on unacknowledged bytes, no
-/// blocking.
-void prepare_socket(boost::asio::ip::tcp::socket& socket);
+/// Sets the options common to all connections: non-blocking, TCP_NODELAY, keepalive and TCP_USER_TIMEOUT.
+void set_socket_options(boost::asio::ip::tcp::socket& socket);
 
 } // namespace dragonflymill::edge
--- a/src/edge/upstream_call.cpp
+++ b/src/edge/upstream_call.cpp
@@ -13,7 +13,7 @@
 namespace asio = boost::asio;
 using direct::attempt_end;
 
-upstream_call::upstream_call(asio::io_context& loop, loop_timers& timers, answer_receiver& receiver)
+upstream_call::upstream_call(asio::io_context& loop, loop_timers& timers, response_handler& receiver)
     : socket_(loop)
     , timers_(timers)
     , receiver_(&receiver)
@@ -26,23 +26,24 @@
     request_ = std::move(request);
     no_body_ = no_body;
     parser_.emplace(no_body);
-    const auto where = parse_tcp_endpoint(address);
-    if (!where) {
+    const auto endpoint = parse_tcp_endpoint(address);
+    if (!endpoint) {
         asio::post(socket_.get_executor(), [self = shared_from_this()] {
             self->fail(attempt_end::not_sent, "the upstream's address can't be read");
         });
         return;
     }
-    connect_timer_ = timers_.at(runtime::now() + connect_limit, [self = shared_from_this()] {
+    connect_timer_ = timers_.at(runtime::now() + connect_timeout, [self = shared_from_this()] {
         self->connect_timer_.reset();
         self->fail(attempt_end::not_sent, "no connection within its limit");
     });
-    socket_.async_connect(
-        where.value(),
-        [self = shared_from_this()](const boost::system::error_code& refused) { self->connected(refused); });
+    socket_.async_connect(endpoint.value(),
+                          [self = shared_from_this()](const boost::system::error_code& refused) {
+                              self->on_connected(refused);
+                          });
 }
 
-void upstream_call::connected(const boost::system::error_code& failed)
+void upstream_call::on_connected(const boost::system::error_code& failed)
 {
     if (connect_timer_) {
         timers_.cancel(*connect_timer_);
@@ -55,9 +56,9 @@
         fail(attempt_end::not_sent, "no connection: " + failed.message());
         return;
     }
-    prepare_socket(socket_);
+    set_socket_options(socket_);
     out_.on_done([this](bool broken) {
-        // The answer may have been sent before the upstream closed its reading side: it is read to its end.
+        // The upstream may have responded before it closed its receiving side: the response is still read.
         (void)broken;
     });
     if (!out_.send(request_, shared_from_this())) {
@@ -73,35 +74,35 @@
 {
     socket_.async_read_some(asio::buffer(buffer_),
                             [self = shared_from_this()](const boost::system::error_code& failed,
-                                                        std::size_t bytes) { self->took(failed, bytes); });
+                                                        std::size_t bytes) { self->on_read(failed, bytes); });
 }
 
-void upstream_call::took(const boost::system::error_code& failed, std::size_t bytes)
+void upstream_call::on_read(const boost::system::error_code& failed, std::size_t bytes)
 {
     if (receiver_ == nullptr) {
         return;
     }
     if (bytes > 0) {
-        take({buffer_.data(), bytes});
+        consume({buffer_.data(), bytes});
     }
     if (receiver_ == nullptr) {
         return;
     }
     if (failed) {
-        ended(failed);
+        on_read_error(failed);
         return;
     }
     read();
 }
 
-void upstream_call::take(std::string_view bytes)
+void upstream_call::consume(std::string_view bytes)
 {
     const auto self = shared_from_this();
     std::string body;
     auto state = parser_->take(bytes, body);
     while (state == response_state::complete && parser_->is_interim()) {
-        // An interim answer promises nothing; the real one follows.
-        const std::string rest = parser_->excess();
+        // Skips interim responses.
+        const std::string rest = parser_->unparsed_bytes();
         parser_.emplace(no_body_);
         state = parser_->take(rest, body);
     }
@@ -114,27 +115,27 @@
     }
     if (!head_passed_) {
         head_passed_ = true;
-        if (!receiver_->answer_head_came(parser_->head())) {
+        if (!receiver_->on_response_head(parser_->head())) {
             return;
         }
     }
     if (receiver_ != nullptr && !body.empty()) {
-        receiver_->answer_body_came(body);
+        receiver_->on_response_body(body);
     }
     if (receiver_ != nullptr && state == response_state::complete) {
-        answer_receiver* receiver = std::exchange(receiver_, nullptr);
+        response_handler* receiver = std::exchange(receiver_, nullptr);
         close();
-        receiver->answer_completed();
+        receiver->on_response_complete();
     }
 }
 
-void upstream_call::ended(const boost::system::error_code& failed)
+void upstream_call::on_read_error(const boost::system::error_code& failed)
 {
-    const bool in_order = failed == asio::error::eof;
-    if (in_order && parser_->take_eof() == response_state::complete && head_passed_) {
-        answer_receiver* receiver = std::exchange(receiver_, nullptr);
+    const bool orderly_close = failed == asio::error::eof;
+    if (orderly_close && parser_->take_eof() == response_state::complete && head_passed_) {
+        response_handler* receiver = std::exchange(receiver_, nullptr);
         close();
-        receiver->answer_completed();
+        receiver->on_response_complete();
         return;
     }
     fail(attempt_end::broken, "the connection ended before the answer: " + failed.message());
@@ -142,10 +143,10 @@
 
 void upstream_call::fail(attempt_end end, const std::string& why)
 {
-    answer_receiver* receiver = std::exchange(receiver_, nullptr);
+    response_handler* receiver = std::exchange(receiver_, nullptr);
     close();
     if (receiver != nullptr) {
-        receiver->answer_failed(end, why);
+        receiver->on_response_failed(end, why);
     }
 }
 
@@ -161,7 +162,7 @@
         timers_.cancel(*connect_timer_);
         connect_timer_.reset();
     }
-    boost::system::error_code ignored; // the connection is given up either way
+    boost::system::error_code ignored; // the descriptor is released either way
     socket_.close(ignored);
 }
 
--- a/src/edge/upstream_call.h
+++ b/src/edge/upstream_call.h
@@ -13,54 +13,54 @@
 
 namespace dragonflymill::edge {
 
-/// Takes what an upstream answers.
-class answer_receiver
+/// Receives an upstream's response.
+class response_handler
 {
 public:
-    answer_receiver() = default;
-    virtual ~answer_receiver() = default;
-    answer_receiver(const answer_receiver&) = delete;
-    auto operator=(const answer_receiver&) -> answer_receiver& = delete;
+    response_handler() = default;
+    virtual ~response_handler() = default;
+    response_handler(const response_handler&) = delete;
+    auto operator=(const response_handler&) -> response_handler& = delete;
 
-    /// The head came; false to break the call off.
-    virtual auto answer_head_came(const answer_head& head) -> bool = 0;
-    /// Bytes of the body came.
-    virtual void answer_body_came(const std::string& bytes) = 0;
-    /// The answer is whole.
-    virtual void answer_completed() = 0;
-    /// No whole answer will come; `why` is for the log.
-    virtual void answer_failed(direct::attempt_end end, const std::string& why) = 0;
+    /// Called with the head; returns false if the receiver has cancelled the call.
+    virtual auto on_response_head(const response_head& head) -> bool = 0;
+    /// Called with decoded bytes of the body.
+    virtual void on_response_body(const std::string& bytes) = 0;
+    /// Called when the response is complete.
+    virtual void on_response_complete() = 0;
+    /// Called when no complete response will arrive; `why` is for the log.
+    virtual void on_response_failed(direct::attempt_end end, const std::string& why) = 0;
 };
 
-/// One request at one upstream, on a connection of its own.
+/// One request to one upstream, on a connection of its own.
 ///
-/// A connection is used once. A kept one may have been dropped by the upstream without a digest, may hold
-/// bytes of an earlier answer, or may deliver a late second one; each would cost a call that must not be
-/// repeated. A new connection costs about a millisecond and no processor time worth counting beside a
-/// stream's events.
+/// Connections aren't reused. The upstream may have dropped an idle one without notice, and it may carry
+/// bytes of an earlier response or a late second one; each case would fail a call that must not be repeated.
+/// A new connection costs about a millisecond and little CPU time compared to a stream's events.
 class upstream_call : public std::enable_shared_from_this<upstream_call>
 {
 public:
-    /// `receiver` outlives the call or cancels it first.
-    upstream_call(boost::asio::io_context& loop, loop_timers& timers, answer_receiver& receiver);
+    /// `receiver` must outlive the call or cancel it first.
+    upstream_call(boost::asio::io_context& loop, loop_timers& timers, response_handler& receiver);
 
-    /// Connects to `address` and sends `request`; `no_body` if the answer has no body whatever it says.
+    /// Connects to `address` and sends `request`. `no_body` is set if the response has no body whatever its
+    /// framing says.
     void start(const std::string& address, std::string request, bool no_body);
-    /// Ends the call without a digest to the receiver; the upstream sees its connection close.
+    /// Closes the connection without notifying the receiver.
     void cancel();
-    /// Whether a byte of the request may have left.
+    /// Whether any byte of the request may have been sent.
     [[nodiscard]] auto any_sent() const -> bool { return out_.any_sent(); }
 
-    /// A connection that takes longer fails: the farthest upstream is 15 ms away there and back, and a lost
-    /// packet is only sent again after a second, which a new connection elsewhere beats.
-    static constexpr duration connect_limit = 250ms;
+    /// The farthest upstream has a round-trip time of 15 ms. A lost SYN is retransmitted only after a second;
+    /// connecting to another upstream is faster.
+    static constexpr duration connect_timeout = 250ms;
 
 private:
-    void connected(const boost::system::error_code& failed);
+    void on_connected(const boost::system::error_code& failed);
     void read();
-    void took(const boost::system::error_code& failed, std::size_t bytes);
-    void take(std::string_view bytes);
-    void ended(const boost::system::error_code& failed);
+    void on_read(const boost::system::error_code& failed, std::size_t bytes);
+    void consume(std::string_view bytes);
+    void on_read_error(const boost::system::error_code& failed);
     void fail(direct::attempt_end end, const std::string& why);
     void close();
 
@@ -68,7 +68,7 @@
 
     boost::asio::ip::tcp::socket socket_;
     loop_timers& timers_;
-    answer_receiver* receiver_;
+    response_handler* receiver_;
     send_queue out_;
     std::string request_;
     std::optional<response_parser> parser_;
--- a/src/edge/upstream_orders.h
+++ b/src/edge/upstream_orders.h
@@ -10,32 +10,33 @@
 
 namespace dragonflymill::edge {
 
-/// Engine memory to be set aside under a name, or for longer if the name is known there.
+/// Reserves KV cache at an engine under a name, or extends the reservation of that name.
 struct reserve_order
 {
-    std::string address;     ///< Engine.
-    std::string reservation; ///< Name.
-    std::int64_t tokens = 0; ///< How much.
-    duration hold{};         ///< For how long from its arrival.
+    std::string address;     ///< Address of the engine.
+    std::string reservation; ///< Name of the reservation.
+    std::int64_t tokens = 0; ///< KV cache to reserve, in tokens.
+    duration hold{};         ///< Length of the lease, from the order's arrival.
 
     friend auto operator==(const reserve_order&, const reserve_order&) -> bool = default;
 };
 
-/// Engine memory that is no longer needed.
+/// Releases the reservation of a name at an engine.
 struct release_order
 {
-    std::string address;     ///< Engine.
-    std::string reservation; ///< Name.
+    std::string address;     ///< Address of the engine.
+    std::string reservation; ///< Name of the reservation.
 
     friend auto operator==(const release_order&, const release_order&) -> bool = default;
 };
 
-/// How orders to engines are written; the adapter of a deployment provides it.
+/// Encoders of orders to engines; a deployment's adapter provides them.
 struct upstream_orders
 {
-    std::function<std::string(const reserve_order&)> reserve;                      ///< A whole request.
-    std::function<std::string(const release_order&)> release;                      ///< A whole request.
-    std::function<std::string(const std::vector<helper_reference>&)> list_helpers; ///< A field's value.
+    std::function<std::string(const reserve_order&)> reserve; ///< Complete HTTP request.
+    std::function<std::string(const release_order&)> release; ///< Complete HTTP request.
+    std::function<std::string(const std::vector<prefill_engine_reference>&)>
+        encode_prefill_engines; ///< Value of the header field `prefill_engines`.
 };
 
 } // namespace dragonflymill::edge
--- a/src/edge/upstream_request.cpp
+++ b/src/edge/upstream_request.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-/// Whether a field is the gateway's to set. A caller that could send one would choose its account, its
-/// upstream or how long it is worked for.
-auto belongs_to_gateway(const header_names& names, std::string_view field) -> bool
+/// Whether only the gateway may set a field. A caller that could send one would choose its own account,
+/// upstream or deadline.
+auto is_gateway_field(const header_names& names, std::string_view field) -> bool
 {
     const std::array<const std::string*, 7> own{
-        &names.time_left_ms,    &names.account,      &names.expected_upstream, &names.helpers,
+        &names.time_left_ms,    &names.account,      &names.expected_upstream, &names.prefill_engines,
         &names.engine_priority, &names.resume_after, &names.account_key};
     return std::any_of(own.begin(), own.end(),
                        [&](const std::string* name) { return boost::beast::iequals(field, *name); });
@@ -28,8 +28,8 @@
 
 void add_own_fields(std::string& text, const header_names& names, const gateway_fields& own)
 {
-    const std::int64_t left = std::max<std::int64_t>(own.time_left / 1ms, 1);
-    add_field(text, names.time_left_ms, std::to_string(left));
+    const std::int64_t time_left_ms = std::max<std::int64_t>(own.time_left / 1ms, 1);
+    add_field(text, names.time_left_ms, std::to_string(time_left_ms));
     add_field(text, names.expected_upstream, own.upstream);
     if (!own.account.empty()) {
         add_field(text, names.account, own.account);
@@ -37,8 +37,8 @@
     if (!own.resume_after.empty()) {
         add_field(text, names.resume_after, own.resume_after);
     }
-    if (!own.helpers.empty()) {
-        add_field(text, names.helpers, own.helpers);
+    if (!own.prefill_engines.empty()) {
+        add_field(text, names.prefill_engines, own.prefill_engines);
     }
 }
 
@@ -50,7 +50,7 @@
     std::string text = request.method + " " + request.target + " HTTP/1.1\r\n";
     const std::string_view connection = request.value_of("connection");
     for (const header_field& field : request.fields) {
-        if (!concerns_connection(field.name, connection) && !belongs_to_gateway(names, field.name)) {
+        if (!is_hop_by_hop(field.name, connection) && !is_gateway_field(names, field.name)) {
             add_field(text, field.name, field.value);
         }
     }
--- a/src/edge/upstream_request.h
+++ b/src/edge/upstream_request.h
@@ -8,22 +8,20 @@
 
 namespace dragonflymill::edge {
 
-/// What a gateway adds to a caller's request for an upstream.
+/// Header values that a gateway sets in a request to an upstream.
 struct gateway_fields
 {
-    duration
-        time_left{}; ///< For how long the answer is still wanted; told in whole milliseconds, at least one.
-    std::string upstream;     ///< Id of the only upstream that may run it.
-    std::string account;      ///< Client account; empty without one.
-    std::string resume_after; ///< Last event that the caller has; empty: from the first on.
-    std::string helpers; ///< Engines that read a part of the prompt, as upstreams take them; empty without.
+    duration time_left{};        ///< Time until the deadline; sent in whole milliseconds, at least one.
+    std::string upstream;        ///< Id of the only upstream that may run the request.
+    std::string account;         ///< Client account; empty if none.
+    std::string resume_after;    ///< Id of the last event that the caller has; empty to start from the first.
+    std::string prefill_engines; ///< Encoded list of additional prefill engines; empty if none.
 
     friend auto operator==(const gateway_fields&, const gateway_fields&) -> bool = default;
 };
 
-/// A caller's request as an upstream gets it: method, target, body and all fields that concern more than one
-/// connection unchanged, the fields that belong to the gateway replaced by its own, the caller's key left
-/// out.
+/// Encodes a caller's request for an upstream. Method, target, body and end-to-end fields are unchanged;
+/// fields owned by the gateway are replaced by `own`, and the caller's API key is removed.
 [[nodiscard]] auto upstream_request(const caller_request& request, const header_names& names,
                                     const gateway_fields& own) -> std::string;
 
--- a/tests/edge/bad_input_test.cpp
+++ b/tests/edge/bad_input_test.cpp
@@ -3,83 +3,84 @@
 using namespace dragonflymill;
 using namespace dragonflymill::edge;
 
-// A caller sends the head of a request and then nothing, for as long as the connection lives. It would hold a
-// descriptor for good: it is told so after the configured time, and nothing is sent anywhere.
-Test(bad_input, a_caller_that_is_too_slow_with_its_head_is_told)
+// Guards against leaking a descriptor to a caller that sends part of a request head and then nothing. The
+// gateway responds 408 after the configured time and dispatches nothing.
+Test(bad_input, times_out_an_incomplete_request_head)
 {
-    gateway_fixture world;
-    world.limits.header_time = 40ms;
-    auto& upstream = world.add_upstream("bookings", [](taken_connection&) {});
-    world.start();
-    world.send_raw("POST /book/1 HTTP/1.1\r\nHost: h.exam");
-    world.run_until([&] { return world.caller_ended; });
-    cr_assert(world.answer.starts_with("HTTP/1.1 408 "), "%s", world.answer.c_str());
+    gateway_fixture fixture;
+    fixture.limits.header_time = 40ms;
+    auto& upstream = fixture.add_upstream("bookings", [](taken_connection&) {});
+    fixture.start();
+    fixture.send_raw("POST /book/1 HTTP/1.1\r\nHost: h.exam");
+    fixture.run_until([&] { return fixture.caller_ended; });
+    cr_assert(fixture.answer.starts_with("HTTP/1.1 408 "), "%s", fixture.answer.c_str());
     cr_assert(upstream.requests.empty());
 }
 
-// The body is announced and doesn't come.
-Test(bad_input, a_caller_that_is_too_slow_with_its_body_is_told)
+// As above, for a body that is announced by Content-Length but doesn't arrive.
+Test(bad_input, times_out_an_incomplete_request_body)
 {
-    gateway_fixture world;
-    world.limits.idle_time = 40ms;
-    auto& upstream = world.add_upstream("bookings", [](taken_connection&) {});
-    world.start();
-    world.send_raw(
+    gateway_fixture fixture;
+    fixture.limits.idle_time = 40ms;
+    auto& upstream = fixture.add_upstream("bookings", [](taken_connection&) {});
+    fixture.start();
+    fixture.send_raw(
         "POST /book/1 HTTP/1.1\r\nHost: h.example\r\nRequest-Id: r1\r\nContent-Length: 10\r\n\r\nhalf");
-    world.run_until([&] { return world.caller_ended; });
-    cr_assert(world.answer.starts_with("HTTP/1.1 408 "), "%s", world.answer.c_str());
+    fixture.run_until([&] { return fixture.caller_ended; });
+    cr_assert(fixture.answer.starts_with("HTTP/1.1 408 "), "%s", fixture.answer.c_str());
     cr_assert(upstream.requests.empty());
 }
 
-// A caller closes its sending side while its stream is prepared. Whether it still reads can't be told from
-// one that has gone, and an engine that works on for nobody makes others wait: the upstream is let go.
-Test(bad_input, a_caller_that_closes_its_side_is_taken_to_have_left)
+// Guards against engines that keep working for a disconnected caller and delay others. A caller that closes
+// only its sending side can't be distinguished from one that has disconnected, so its request is cancelled.
+Test(bad_input, cancels_the_request_when_the_caller_half_closes)
 {
-    gateway_fixture world;
-    auto& upstream = world.add_upstream("engines", [](taken_connection&) {});
-    world.start();
-    world.send("POST", "/chat/1", "", "prompt");
-    world.run_until([&] { return !upstream.requests.empty(); });
-    world.caller.shutdown(boost::asio::ip::tcp::socket::shutdown_send);
-    world.run_until([&] { return upstream.requests.at(0)->ended; });
-    cr_assert(world.answer.empty(), "%s", world.answer.c_str());
+    gateway_fixture fixture;
+    auto& upstream = fixture.add_upstream("engines", [](taken_connection&) {});
+    fixture.start();
+    fixture.send("POST", "/chat/1", "", "prompt");
+    fixture.run_until([&] { return !upstream.requests.empty(); });
+    fixture.caller.shutdown(boost::asio::ip::tcp::socket::shutdown_send);
+    fixture.run_until([&] { return upstream.requests.at(0)->ended; });
+    cr_assert(fixture.answer.empty(), "%s", fixture.answer.c_str());
 }
 
-// An upstream sends a second answer behind the first. It belongs to no request; passed on, the caller's next
-// request on the connection would get it.
-Test(bad_input, a_second_answer_on_a_connection_reaches_nobody)
+// Guards against forwarding a second, unsolicited response of an upstream: the caller's next request on the
+// connection would receive it.
+Test(bad_input, discards_a_second_response_of_an_upstream)
 {
-    gateway_fixture world;
-    int answered = 0;
-    world.add_upstream("bookings", [&](taken_connection& taken) {
-        ++answered;
-        taken.send(answered == 1 ? whole_answer("first") + whole_answer("stray") : whole_answer("second"));
+    gateway_fixture fixture;
+    int requests = 0;
+    fixture.add_upstream("bookings", [&](taken_connection& connection) {
+        ++requests;
+        connection.send(requests == 1 ? complete_response("first") + complete_response("stray")
+                                      : complete_response("second"));
     });
-    world.start();
-    world.send("POST", "/book/1", "", "a");
-    world.run_until_seen("first");
-    world.send("POST", "/book/1", "", "b");
-    world.run_until_seen("second");
-    cr_assert(world.answer.find("stray") == std::string::npos, "%s", world.answer.c_str());
-    cr_assert(answered == 2);
+    fixture.start();
+    fixture.send("POST", "/book/1", "", "a");
+    fixture.run_until_received("first");
+    fixture.send("POST", "/book/1", "", "b");
+    fixture.run_until_received("second");
+    cr_assert(fixture.answer.find("stray") == std::string::npos, "%s", fixture.answer.c_str());
+    cr_assert(requests == 2);
 }
 
-// A caller states a time of three hundred thousand years, in milliseconds. In microseconds it is more than a
-// number holds and became a time long past: the upstream was told that one millisecond is left and gave the
-// request up. The route's limit holds.
-Test(bad_input, a_stated_time_beyond_all_bounds_counts_as_the_routes_limit)
+// Guards against overflow of a stated remaining time: 10^16 ms don't fit in 64 bits as microseconds and
+// wrapped to a past deadline, so that the upstream received a time of one millisecond and gave up. The
+// route's limit applies.
+Test(bad_input, limits_an_overflowing_stated_time_to_the_routes_limit)
 {
-    gateway_fixture world;
-    auto& upstream =
-        world.add_upstream("bookings", [](taken_connection& taken) { taken.send(whole_answer("done")); });
-    world.start();
-    world.send_raw(
+    gateway_fixture fixture;
+    auto& upstream = fixture.add_upstream(
+        "bookings", [](taken_connection& connection) { connection.send(complete_response("done")); });
+    fixture.start();
+    fixture.send_raw(
         "POST /book/1 HTTP/1.1\r\nHost: h.example\r\nRequest-Id: r1\r\nTime-Left: 10000000000000000\r\n"
         "Authorization: Bearer key1\r\nContent-Length: 0\r\n\r\n");
-    world.run_until_seen("done");
+    fixture.run_until_received("done");
     const std::string& seen = upstream.requests.at(0)->received;
-    const auto told = seen.find("Time-Left: ");
-    cr_assert(told != std::string::npos);
-    const int left_ms = std::stoi(seen.substr(told + std::string("Time-Left: ").size()));
+    const auto position = seen.find("Time-Left: ");
+    cr_assert(position != std::string::npos);
+    const int left_ms = std::stoi(seen.substr(position + std::string("Time-Left: ").size()));
     cr_assert(left_ms > 1 && left_ms <= 5000, "%d", left_ms);
 }
--- a/tests/edge/caller_request_test.cpp
+++ b/tests/edge/caller_request_test.cpp
@@ -10,45 +10,45 @@
 
 auto request(std::vector<header_field> fields) -> caller_request
 {
-    caller_request made{"POST", "/a/b?c=d", std::move(fields), "", true, false};
-    made.fields.push_back({"Host", "h.example"});
-    return made;
+    caller_request result{"POST", "/a/b?c=d", std::move(fields), "", true, false};
+    result.fields.push_back({"Host", "h.example"});
+    return result;
 }
 
 } // namespace
 
-// A second request is hidden in the body of a first one whose end two readers see at different places. The
-// upstream would run a request that no caller sent.
-Test(caller_request, framing_that_can_be_read_in_two_ways_is_refused)
+// Guards against request smuggling: if two parsers see the end of a body at different positions, the upstream
+// runs a request hidden in it that no caller sent.
+Test(caller_request, rejects_ambiguous_framing)
 {
-    cr_assert(framing_is_clear(request({})));
-    cr_assert(framing_is_clear(request({{"Content-Length", "3"}})));
-    cr_assert(framing_is_clear(request({{"Transfer-Encoding", "Chunked"}})));
-    cr_assert(!framing_is_clear(request({{"Content-Length", "3"}, {"content-length", "3"}})));
-    cr_assert(!framing_is_clear(request({{"Content-Length", "3"}, {"Transfer-Encoding", "chunked"}})));
-    cr_assert(!framing_is_clear(request({{"Transfer-Encoding", "gzip, chunked"}})));
-    cr_assert(
-        !framing_is_clear(request({{"Transfer-Encoding", "chunked"}, {"Transfer-Encoding", "chunked"}})));
-    cr_assert(!framing_is_clear(request({{"Host", "other.example"}})));
+    cr_assert(has_unambiguous_framing(request({})));
+    cr_assert(has_unambiguous_framing(request({{"Content-Length", "3"}})));
+    cr_assert(has_unambiguous_framing(request({{"Transfer-Encoding", "Chunked"}})));
+    cr_assert(!has_unambiguous_framing(request({{"Content-Length", "3"}, {"content-length", "3"}})));
+    cr_assert(!has_unambiguous_framing(request({{"Content-Length", "3"}, {"Transfer-Encoding", "chunked"}})));
+    cr_assert(!has_unambiguous_framing(request({{"Transfer-Encoding", "gzip, chunked"}})));
+    cr_assert(!has_unambiguous_framing(
+        request({{"Transfer-Encoding", "chunked"}, {"Transfer-Encoding", "chunked"}})));
+    cr_assert(!has_unambiguous_framing(request({{"Host", "other.example"}})));
 }
 
-Test(caller_request, fields_of_one_connection_are_not_passed_on)
+Test(caller_request, recognizes_hop_by_hop_fields)
 {
-    cr_assert(concerns_connection("KEEP-ALIVE", ""));
-    cr_assert(concerns_connection("Transfer-Encoding", ""));
-    cr_assert(concerns_connection("X-Hop", "close, x-hop"));
-    cr_assert(!concerns_connection("X-Hop", "close"));
-    cr_assert(!concerns_connection("Accept", ""));
+    cr_assert(is_hop_by_hop("KEEP-ALIVE", ""));
+    cr_assert(is_hop_by_hop("Transfer-Encoding", ""));
+    cr_assert(is_hop_by_hop("X-Hop", "close, x-hop"));
+    cr_assert(!is_hop_by_hop("X-Hop", "close"));
+    cr_assert(!is_hop_by_hop("Accept", ""));
 }
 
-Test(caller_request, the_path_ends_before_the_query)
+Test(caller_request, path_excludes_the_query)
 {
     cr_assert(request({}).path() == "/a/b");
     cr_assert(request({{"X", "1"}, {"x", "2"}}).count_of("X") == 2);
     cr_assert(request({{"X", "1"}}).value_of("x") == "1");
 }
 
-Test(peer_codec, a_datagram_comes_back_as_it_was)
+Test(peer_codec, datagram_survives_a_round_trip)
 {
     direct::peer_message message;
     message.digest = {"g#1", 7,  "10.0.0.1:7340", 42,   true, true, {"10.0.0.2:7340"},
@@ -60,10 +60,10 @@
     cr_assert(!decode_datagram(""));
 }
 
-Test(peer_codec, records_come_back_as_they_were)
+Test(peer_codec, records_survive_a_round_trip)
 {
-    const direct::records_update extract{
+    const direct::records_update update{
         {{"k", std::string("\0\xff", 2), 3, false}, {"gone", "", 4, true}}, 4, true};
-    cr_assert(decode_extract(encode_extract(extract)) == extract);
-    cr_assert(!decode_extract("\xff\xff"));
+    cr_assert(decode_records_update(encode_records_update(update)) == update);
+    cr_assert(!decode_records_update("\xff\xff"));
 }
--- a/tests/edge/gateway_fixture.h
+++ b/tests/edge/gateway_fixture.h
@@ -22,34 +22,34 @@
 using test_support::standin_upstream;
 using test_support::taken_connection;
 
-/// An answer of an upstream to the request that `gateway_fixture` sends, with a body of stated length.
-inline auto whole_answer(const std::string& body, const std::string& fields = "") -> std::string
+/// Response of an upstream to a request of `gateway_fixture`, with Content-Length.
+inline auto complete_response(const std::string& body, const std::string& fields = "") -> std::string
 {
     return "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nSeal: s1\r\n" + fields +
            "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-/// A source of records that has them all from the start.
-class fixed_source : public record_source
+/// A record source with a fixed set of records.
+class static_record_source : public record_source
 {
 public:
-    void start(handlers told) override
+    void start(handlers callbacks) override
     {
-        sent_ = std::move(told);
-        if (!held_back) {
-            tell();
+        handlers_ = std::move(callbacks);
+        if (!delay_records) {
+            publish_records();
         }
     }
-    /// Hands all records over.
-    void tell()
+    /// Delivers all records.
+    void publish_records()
     {
-        direct::records_update extract;
+        direct::records_update update;
         for (const auto& [key, fact] : facts) {
-            extract.records.push_back({key, "", ++extract.as_of, false});
+            update.records.push_back({key, "", ++update.as_of, false});
         }
-        extract.whole = true;
-        sent_.on_regained();
-        sent_.on_records(extract);
+        update.whole = true;
+        handlers_.on_recovered();
+        handlers_.on_records(update);
     }
     void stop() override {}
     [[nodiscard]] auto decode(const direct::fleet_record& record) const -> direct::decoded_record override
@@ -58,18 +58,18 @@
     }
 
     std::map<std::string, direct::decoded_record> facts;
-    /// Whether records come only when `tell` is called, rather than at the start.
-    bool held_back = false;
+    /// Delivers records only when `publish_records` is called, rather than at the start.
+    bool delay_records = false;
 
 private:
-    handlers sent_;
+    handlers handlers_;
 };
 
-/// A gateway over real sockets on one event loop, with stand-in upstreams and callers.
+/// A gateway with stand-in upstreams and callers, over real sockets on one event loop.
 class gateway_fixture
 {
 public:
-    /// Adds an upstream of the service `name`.
+    /// Adds an upstream to the service `name`.
     auto add_upstream(const std::string& name, standin_upstream::script script) -> standin_upstream&
     {
         upstreams_.push_back(std::make_unique<standin_upstream>(loop, std::move(script)));
@@ -83,7 +83,7 @@
         return *upstreams_.back();
     }
 
-    /// Starts the gateway with two routes: `/book/` for calls that run once, `/chat/` for streams.
+    /// Starts the gateway with two routes: `/book/` for non-idempotent calls, `/chat/` for resumable streams.
     void start(bool configured = true)
     {
         if (configured) {
@@ -99,13 +99,13 @@
         names.account = "Account";
         names.expected_upstream = "Expected";
         names.not_run = "Not-Run";
-        names.at_fault = "At-Fault";
+        names.failed_upstream = "At-Fault";
         names.token_counts = "Tokens";
-        names.helpers = "Helpers";
+        names.prefill_engines = "Helpers";
         names.engine_priority = "Engine-Priority";
         names.resume_after = "Last-Event-Id";
         names.account_key = "Authorization";
-        names.key_scheme = "Bearer ";
+        names.auth_scheme = "Bearer ";
         names.ready_path = "/ready";
         gateway = std::make_unique<direct_gateway>(loop, settings, platform_adapter{names, {}}, source,
                                                    [] { return std::nullopt; });
@@ -113,15 +113,15 @@
         connect_caller();
     }
 
-    /// Goes on as another caller; the first one's connection stays open.
-    void come_as_another_caller()
+    /// Continues as another caller; the first caller's connection stays open.
+    void connect_another_caller()
     {
         first_caller_ = std::move(caller);
         caller = boost::asio::ip::tcp::socket(loop);
         connect_caller();
     }
 
-    /// Sends a request as the caller.
+    /// Sends a request of the caller.
     void send(const std::string& method, const std::string& path, const std::string& fields = "",
               const std::string& body = "")
     {
@@ -132,31 +132,31 @@
     }
     void send_raw(const std::string& bytes) { boost::asio::write(caller, boost::asio::buffer(bytes)); }
 
-    /// Runs the loop until `done`, or fails the test after a time that no right outcome needs.
+    /// Runs the loop until `done` returns true; fails the test after 30 seconds.
     void run_until(const std::function<bool()>& done)
     {
         const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(30);
         while (!done()) {
-            cr_assert(std::chrono::steady_clock::now() < end,
-                      "what the test waits for doesn't come; seen: %s", answer.c_str());
+            cr_assert(std::chrono::steady_clock::now() < end, "timed out; received so far: %s",
+                      answer.c_str());
             loop.run_one_for(std::chrono::milliseconds(20));
         }
     }
-    /// Runs the loop until the caller has seen this.
-    void run_until_seen(const std::string& text)
+    /// Runs the loop until the caller has received `text`.
+    void run_until_received(const std::string& text)
     {
         run_until([&] { return answer.find(text) != std::string::npos; });
     }
 
     boost::asio::io_context loop{1};
-    fixed_source source;
+    static_record_source source;
     std::unique_ptr<direct_gateway> gateway;
     boost::asio::ip::tcp::socket caller{loop};
     std::string answer;
     bool caller_ended = false;
-    /// Of the gateway; addresses and names are set at its start.
+    /// Settings of the gateway; `start` sets addresses and names.
     direct_gateway_settings settings;
-    /// In the configuration that the gateway starts with.
+    /// Caller limits in the gateway's configuration.
     direct::caller_limits limits;
 
 private:
@@ -189,10 +189,10 @@
     void connect_caller()
     {
         caller.connect({boost::asio::ip::make_address("127.0.0.1"), gateway->caller_port()});
-        listen_to_caller();
+        read_responses();
     }
 
-    void listen_to_caller()
+    void read_responses()
     {
         caller.async_read_some(boost::asio::buffer(buffer_), [this](const auto& failed, std::size_t bytes) {
             if (failed) {
@@ -200,7 +200,7 @@
                 return;
             }
             answer.append(buffer_.data(), bytes);
-            listen_to_caller();
+            read_responses();
         });
     }
 
--- a/tests/edge/gateway_flow_test.cpp
+++ b/tests/edge/gateway_flow_test.cpp
@@ -32,259 +32,259 @@
     return found;
 }
 
-/// Starts the gateway, begins a stream through it and asks it to stop; returns the stream's upstream.
-auto stop_while_a_stream_runs(gateway_fixture& world) -> standin_upstream&
+/// Starts a gateway and a stream through it, then sends SIGTERM; returns the stream's upstream.
+auto begin_shutdown_during_stream(gateway_fixture& fixture) -> standin_upstream&
 {
-    auto& engine = world.add_upstream("engines", [](taken_connection& taken) {
-        taken.send(stream_head + std::string("\r\n") + chunk(event(1)));
+    auto& engine = fixture.add_upstream("engines", [](taken_connection& connection) {
+        connection.send(stream_head + std::string("\r\n") + chunk(event(1)));
     });
-    world.start();
-    world.send("POST", "/chat/1", "Tokens: 100,10\r\n", "hello");
-    world.run_until_seen(event(1));
+    fixture.start();
+    fixture.send("POST", "/chat/1", "Tokens: 100,10\r\n", "hello");
+    fixture.run_until_received(event(1));
     std::raise(SIGTERM);
-    world.run_until([&] { return world.gateway->closing(); });
+    fixture.run_until([&] { return fixture.gateway->closing(); });
     return engine;
 }
 
 } // namespace
 
-Test(gateway_flow, a_call_goes_through_with_the_gateways_own_fields)
+Test(gateway_flow, forwards_a_call_with_the_gateways_own_fields)
 {
-    gateway_fixture world;
-    auto& upstream =
-        world.add_upstream("bookings", [](taken_connection& taken) { taken.send(whole_answer("done")); });
-    world.start();
-    world.send("POST", "/book/1?q=2", "Account: forged\r\nExpected: forged\r\nX-Own: kept\r\n", "slot 7");
-    world.run_until_seen("done");
+    gateway_fixture fixture;
+    auto& upstream = fixture.add_upstream(
+        "bookings", [](taken_connection& connection) { connection.send(complete_response("done")); });
+    fixture.start();
+    fixture.send("POST", "/book/1?q=2", "Account: forged\r\nExpected: forged\r\nX-Own: kept\r\n", "slot 7");
+    fixture.run_until_received("done");
     const std::string& seen = upstream.requests.at(0)->received;
     cr_assert(seen.starts_with("POST /book/1?q=2 HTTP/1.1\r\n"));
     cr_assert(seen.ends_with("slot 7"));
     cr_assert(seen.find("X-Own: kept") != std::string::npos);
     cr_assert(seen.find("Account: acme\r\n") != std::string::npos && count(seen, "Account: ") == 1);
     cr_assert(seen.find("Expected: bookings-1\r\n") != std::string::npos && count(seen, "Expected: ") == 1);
-    cr_assert(seen.find("key1") == std::string::npos, "the key is not passed on");
-    cr_assert(world.answer.find("Seal: s1\r\n") != std::string::npos);
+    cr_assert(seen.find("key1") == std::string::npos, "the API key must not be forwarded");
+    cr_assert(fixture.answer.find("Seal: s1\r\n") != std::string::npos);
 }
 
-// A household's booking is on its way when the upstream's connection is reset. It may have run: the caller is
-// told that nobody knows, and no second upstream gets it.
-Test(gateway_flow, a_booking_that_may_have_run_is_sent_once)
+// Guards against running a non-idempotent call twice: if the connection is reset after the request was sent,
+// it may have run. The caller receives `ran: unknown` and no second upstream receives the call.
+Test(gateway_flow, does_not_repeat_a_non_idempotent_call_that_may_have_run)
 {
-    gateway_fixture world;
+    gateway_fixture fixture;
     int sent = 0;
-    const auto reset = [&](taken_connection& taken) {
+    const auto reset = [&](taken_connection& connection) {
         ++sent;
-        taken.reset();
+        connection.reset();
     };
-    world.add_upstream("bookings", reset);
-    world.add_upstream("bookings", reset);
-    world.start();
-    world.send("POST", "/book/1", "", "slot 7");
-    world.run_until_seen("\"ran\":\"unknown\"");
-    cr_assert(world.answer.starts_with("HTTP/1.1 502 "));
+    fixture.add_upstream("bookings", reset);
+    fixture.add_upstream("bookings", reset);
+    fixture.start();
+    fixture.send("POST", "/book/1", "", "slot 7");
+    fixture.run_until_received("\"ran\":\"unknown\"");
+    cr_assert(fixture.answer.starts_with("HTTP/1.1 502 "));
     cr_assert(sent == 1, "%d", sent);
 }
 
-// An upstream is full and says that it has not run the booking: another one gets it, and the caller notices
-// nothing.
-Test(gateway_flow, a_booking_that_was_not_run_goes_elsewhere)
+// A full upstream states that it hasn't run the call, so the call is retried at another one.
+Test(gateway_flow, retries_a_call_that_was_not_run)
 {
-    gateway_fixture world;
+    gateway_fixture fixture;
     int sent = 0;
-    const auto first_is_full = [&](taken_connection& taken) {
-        ++sent == 1
-            ? taken.send("HTTP/1.1 503 Full\r\nNot-Run: 1\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n")
-            : taken.send(whole_answer("booked"));
+    const auto first_is_full = [&](taken_connection& connection) {
+        ++sent == 1 ? connection.send(
+                          "HTTP/1.1 503 Full\r\nNot-Run: 1\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n")
+                    : connection.send(complete_response("booked"));
     };
-    world.add_upstream("bookings", first_is_full);
-    world.add_upstream("bookings", first_is_full);
-    world.start();
-    world.send("POST", "/book/1", "", "slot 7");
-    world.run_until_seen("booked");
+    fixture.add_upstream("bookings", first_is_full);
+    fixture.add_upstream("bookings", first_is_full);
+    fixture.start();
+    fixture.send("POST", "/book/1", "", "slot 7");
+    fixture.run_until_received("booked");
     cr_assert(sent == 2);
 }
 
-// An upstream hands out the answer of another household. It must not reach this one.
-Test(gateway_flow, an_answer_that_belongs_to_another_request_is_not_passed_on)
+// Guards against forwarding another caller's response when an upstream mixes responses up.
+Test(gateway_flow, rejects_a_response_to_another_request)
 {
-    gateway_fixture world;
-    world.add_upstream("bookings", [](taken_connection& taken) {
-        taken.send("HTTP/1.1 200 OK\r\nRequest-Id: r2\r\nContent-Length: 6\r\n\r\nsecret");
+    gateway_fixture fixture;
+    fixture.add_upstream("bookings", [](taken_connection& connection) {
+        connection.send("HTTP/1.1 200 OK\r\nRequest-Id: r2\r\nContent-Length: 6\r\n\r\nsecret");
     });
-    world.start();
-    world.send("POST", "/book/1", "", "slot 7");
-    world.run_until_seen("HTTP/1.1 502 ");
-    cr_assert(world.answer.find("secret") == std::string::npos);
+    fixture.start();
+    fixture.send("POST", "/book/1", "", "slot 7");
+    fixture.run_until_received("HTTP/1.1 502 ");
+    cr_assert(fixture.answer.find("secret") == std::string::npos);
 }
 
-Test(gateway_flow, half_an_answer_is_not_taken_for_the_whole)
+Test(gateway_flow, does_not_forward_a_truncated_response)
 {
-    gateway_fixture world;
-    world.add_upstream("bookings", [](taken_connection& taken) {
-        taken.send("HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 60\r\n\r\nhalf");
-        taken.close();
+    gateway_fixture fixture;
+    fixture.add_upstream("bookings", [](taken_connection& connection) {
+        connection.send("HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 60\r\n\r\nhalf");
+        connection.close();
     });
-    world.start();
-    world.send("POST", "/book/1", "", "slot 7");
-    world.run_until_seen("HTTP/1.1 502 ");
-    cr_assert(world.answer.find("half") == std::string::npos);
+    fixture.start();
+    fixture.send("POST", "/book/1", "", "slot 7");
+    fixture.run_until_received("HTTP/1.1 502 ");
+    cr_assert(fixture.answer.find("half") == std::string::npos);
 }
 
-// An engine dies in the middle of its third event. Another one goes on after the second, inside the same
-// answer; the caller sees each event once and one head.
-Test(gateway_flow, a_broken_stream_goes_on_elsewhere)
+// An engine fails in the middle of the third event. The stream resumes at another engine after the second
+// event, within the same response: the caller receives one head and each event once.
+Test(gateway_flow, resumes_a_broken_stream_at_another_upstream)
 {
-    gateway_fixture world;
+    gateway_fixture fixture;
     std::vector<std::string> resumed;
     int attempt = 0;
-    const auto engine = [&](taken_connection& taken) {
+    const auto engine = [&](taken_connection& connection) {
         if (++attempt == 1) {
-            taken.send(stream_head + std::string("Seal: first\r\n\r\n") + chunk(event(1)) +
-                       chunk(event(2) + "id: 3\nda"));
-            taken.reset();
+            connection.send(stream_head + std::string("Seal: first\r\n\r\n") + chunk(event(1)) +
+                            chunk(event(2) + "id: 3\nda"));
+            connection.reset();
             return;
         }
-        resumed.push_back(taken.received);
-        taken.send(stream_head + std::string("Seal: second\r\n\r\n") + chunk(event(3)) + chunk(event(4)) +
-                   "0\r\n\r\n");
+        resumed.push_back(connection.received);
+        connection.send(stream_head + std::string("Seal: second\r\n\r\n") + chunk(event(3)) +
+                        chunk(event(4)) + "0\r\n\r\n");
     };
-    world.add_upstream("engines", engine);
-    world.add_upstream("engines", engine);
-    world.start();
-    world.send("POST", "/chat/1", "Tokens: 100,10\r\n", "hello");
-    world.run_until_seen("\r\n0\r\n\r\n");
+    fixture.add_upstream("engines", engine);
+    fixture.add_upstream("engines", engine);
+    fixture.start();
+    fixture.send("POST", "/chat/1", "Tokens: 100,10\r\n", "hello");
+    fixture.run_until_received("\r\n0\r\n\r\n");
     cr_assert(resumed.size() == 1 && resumed[0].find("Last-Event-Id: 2\r\n") != std::string::npos);
     for (int id = 1; id <= 4; ++id) {
-        cr_assert(count(world.answer, event(id)) == 1, "event %d", id);
+        cr_assert(count(fixture.answer, event(id)) == 1, "event %d", id);
     }
-    cr_assert(count(world.answer, "HTTP/1.1 200") == 1 &&
-              world.answer.find("Seal: first") != std::string::npos);
-    cr_assert(world.answer.find("second") == std::string::npos);
+    cr_assert(count(fixture.answer, "HTTP/1.1 200") == 1 &&
+              fixture.answer.find("Seal: first") != std::string::npos);
+    cr_assert(fixture.answer.find("second") == std::string::npos);
 }
 
-// Both engines break off. The caller has a part of the answer: its connection is closed, so that the part
-// can't be taken for the whole.
-Test(gateway_flow, a_stream_that_can_not_go_on_is_cut)
+// Guards against a truncated stream that looks complete: when no engine is left to resume it, the caller's
+// connection is closed without the final chunk.
+Test(gateway_flow, aborts_a_stream_that_can_not_be_resumed)
 {
-    gateway_fixture world;
-    const auto engine = [](taken_connection& taken) {
-        taken.send(stream_head + std::string("\r\n") + chunk(event(1)));
-        taken.reset();
+    gateway_fixture fixture;
+    const auto engine = [](taken_connection& connection) {
+        connection.send(stream_head + std::string("\r\n") + chunk(event(1)));
+        connection.reset();
     };
-    world.add_upstream("engines", engine);
-    world.add_upstream("engines", engine);
-    world.start();
-    world.send("POST", "/chat/1", "Tokens: 100,10\r\n", "hello");
-    world.run_until([&] { return world.caller_ended; });
-    cr_assert(count(world.answer, event(1)) == 1);
-    cr_assert(world.answer.find("\r\n0\r\n\r\n") == std::string::npos);
+    fixture.add_upstream("engines", engine);
+    fixture.add_upstream("engines", engine);
+    fixture.start();
+    fixture.send("POST", "/chat/1", "Tokens: 100,10\r\n", "hello");
+    fixture.run_until([&] { return fixture.caller_ended; });
+    cr_assert(count(fixture.answer, event(1)) == 1);
+    cr_assert(fixture.answer.find("\r\n0\r\n\r\n") == std::string::npos);
 }
 
-// A member hangs up. The engine must not go on for nobody: its connection is closed.
-Test(gateway_flow, the_upstream_is_let_go_when_the_caller_leaves)
+// Guards against engines that keep generating for a disconnected caller.
+Test(gateway_flow, closes_the_upstream_connection_when_the_caller_disconnects)
 {
-    gateway_fixture world;
-    auto& engine = world.add_upstream("engines", [](taken_connection& taken) {
-        taken.send(stream_head + std::string("\r\n") + chunk(event(1)));
+    gateway_fixture fixture;
+    auto& engine = fixture.add_upstream("engines", [](taken_connection& connection) {
+        connection.send(stream_head + std::string("\r\n") + chunk(event(1)));
     });
-    world.start();
-    world.send("POST", "/chat/1", "Tokens: 100,10\r\n", "hello");
-    world.run_until_seen(event(1));
-    world.caller.close();
-    world.run_until([&] { return engine.requests.at(0)->ended; });
+    fixture.start();
+    fixture.send("POST", "/chat/1", "Tokens: 100,10\r\n", "hello");
+    fixture.run_until_received(event(1));
+    fixture.caller.close();
+    fixture.run_until([&] { return engine.requests.at(0)->ended; });
 }
 
-// A second request is hidden behind a body whose end can be read in two ways. Nothing of it reaches an
-// upstream.
-Test(gateway_flow, a_smuggled_request_runs_nowhere)
+// Guards against request smuggling: a request with both Content-Length and Transfer-Encoding hides a second
+// one. Nothing of it may reach an upstream.
+Test(gateway_flow, rejects_request_smuggling)
 {
-    gateway_fixture world;
-    auto& upstream =
-        world.add_upstream("bookings", [](taken_connection& taken) { taken.send(whole_answer("done")); });
-    world.start();
-    world.send_raw(
+    gateway_fixture fixture;
+    auto& upstream = fixture.add_upstream(
+        "bookings", [](taken_connection& connection) { connection.send(complete_response("done")); });
+    fixture.start();
+    fixture.send_raw(
         "POST /book/1 HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer key1\r\nContent-Length: 4\r\n"
         "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\nPOST /book/2 HTTP/1.1\r\nHost: h.example\r\n\r\n");
-    world.run_until([&] { return world.caller_ended; });
-    cr_assert(world.answer.starts_with("HTTP/1.1 400 "));
+    fixture.run_until([&] { return fixture.caller_ended; });
+    cr_assert(fixture.answer.starts_with("HTTP/1.1 400 "));
     cr_assert(upstream.requests.empty());
 }
 
-Test(gateway_flow, what_the_configuration_does_not_allow_is_refused)
+Test(gateway_flow, refuses_unknown_routes_and_keys)
 {
-    gateway_fixture world;
-    world.add_upstream("bookings", [](taken_connection& taken) { taken.send(whole_answer("done")); });
-    world.start();
-    world.send("POST", "/nowhere/1");
-    world.run_until_seen("HTTP/1.1 404 ");
-    world.send_raw("POST /book/1 HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer other\r\n"
-                   "Content-Length: 0\r\n\r\n");
-    world.run_until_seen("HTTP/1.1 401 ");
+    gateway_fixture fixture;
+    fixture.add_upstream("bookings",
+                         [](taken_connection& connection) { connection.send(complete_response("done")); });
+    fixture.start();
+    fixture.send("POST", "/nowhere/1");
+    fixture.run_until_received("HTTP/1.1 404 ");
+    fixture.send_raw("POST /book/1 HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer other\r\n"
+                     "Content-Length: 0\r\n\r\n");
+    fixture.run_until_received("HTTP/1.1 401 ");
 }
 
-// A gateway has just started and no source of configuration can be reached. It says that it ran nothing and
-// when to come back, rather than that the route doesn't exist.
-Test(gateway_flow, a_gateway_without_a_configuration_says_so)
+// Guards against a 404 from a gateway that has just started and can't reach a source of configuration. It
+// must state that the request hasn't run and when to retry.
+Test(gateway_flow, without_a_configuration_refuses_with_retry_after)
 {
-    gateway_fixture world;
-    world.start(false);
-    world.send("POST", "/book/1");
-    world.run_until_seen("\"ran\":\"no\"");
-    cr_assert(world.answer.starts_with("HTTP/1.1 503 "));
-    cr_assert(world.answer.find("Retry-After: 1.00\r\n") != std::string::npos);
+    gateway_fixture fixture;
+    fixture.start(false);
+    fixture.send("POST", "/book/1");
+    fixture.run_until_received("\"ran\":\"no\"");
+    cr_assert(fixture.answer.starts_with("HTTP/1.1 503 "));
+    cr_assert(fixture.answer.find("Retry-After: 1.00\r\n") != std::string::npos);
 }
 
-Test(gateway_flow, a_connection_is_used_for_many_requests)
+Test(gateway_flow, serves_several_requests_on_a_connection)
 {
-    gateway_fixture world;
-    auto& upstream =
-        world.add_upstream("bookings", [](taken_connection& taken) { taken.send(whole_answer("done")); });
-    world.start();
-    for (int turn = 1; turn <= 3; ++turn) {
-        world.send("POST", "/book/1", "", "slot 7");
-        world.run_until([&] { return count(world.answer, "done") == turn; });
+    gateway_fixture fixture;
+    auto& upstream = fixture.add_upstream(
+        "bookings", [](taken_connection& connection) { connection.send(complete_response("done")); });
+    fixture.start();
+    for (int request = 1; request <= 3; ++request) {
+        fixture.send("POST", "/book/1", "", "slot 7");
+        fixture.run_until([&] { return count(fixture.answer, "done") == request; });
     }
     cr_assert(upstream.requests.size() == 3);
-    cr_assert(!world.caller_ended);
+    cr_assert(!fixture.caller_ended);
 }
 
-// Operators stop a gateway while a stream runs. It goes on to its end before the process does.
-Test(gateway_flow, a_planned_stop_finishes_what_runs)
+// A gateway that receives SIGTERM lets a running stream finish before it stops.
+Test(gateway_flow, shutdown_finishes_running_streams)
 {
-    gateway_fixture world;
-    auto& engine = stop_while_a_stream_runs(world);
+    gateway_fixture fixture;
+    auto& engine = begin_shutdown_during_stream(fixture);
     engine.requests.at(0)->send(chunk(event(2)) + "0\r\n\r\n");
-    world.run_until_seen("\r\n0\r\n\r\n");
-    cr_assert(world.answer.find(event(2)) != std::string::npos);
-    world.run_until([&] { return world.loop.stopped(); });
+    fixture.run_until_received("\r\n0\r\n\r\n");
+    cr_assert(fixture.answer.find(event(2)) != std::string::npos);
+    fixture.run_until([&] { return fixture.loop.stopped(); });
 }
 
-// Guards against callers that find no connection, at whichever gateway they try, while all are stopped in
-// turn.
-Test(gateway_flow, a_stopping_gateway_tells_late_callers_when_to_come_back)
+// Guards against refused connections at every gateway while all of them are restarted one after the other.
+Test(gateway_flow, stopping_gateway_refuses_late_callers_with_retry_after)
 {
-    gateway_fixture world;
-    world.settings.deregistration_delay = 0ms;
-    auto& engine = stop_while_a_stream_runs(world);
-    world.loop.run_for(1ms);
-    world.come_as_another_caller();
-    world.send("POST", "/chat/2", "Tokens: 100,10\r\n", "hello");
-    world.run_until_seen("Retry-After: 1.00");
-    cr_assert(world.answer.find("HTTP/1.1 503") != std::string::npos);
-    cr_assert(world.answer.find("\"ran\":\"no\"") != std::string::npos);
-    cr_assert(engine.requests.size() == 1, "the late call ran nowhere");
+    gateway_fixture fixture;
+    fixture.settings.deregistration_delay = 0ms;
+    auto& engine = begin_shutdown_during_stream(fixture);
+    fixture.loop.run_for(1ms);
+    fixture.connect_another_caller();
+    fixture.send("POST", "/chat/2", "Tokens: 100,10\r\n", "hello");
+    fixture.run_until_received("Retry-After: 1.00");
+    cr_assert(fixture.answer.find("HTTP/1.1 503") != std::string::npos);
+    cr_assert(fixture.answer.find("\"ran\":\"no\"") != std::string::npos);
+    cr_assert(engine.requests.size() == 1, "the late call must not reach an upstream");
 }
 
-// Guards against refusing the callers that come back to a gateway in the moment of its start.
-Test(gateway_flow, callers_wait_for_the_configuration_of_a_gateway_that_starts)
+// Guards against refusing callers that retry while a gateway starts and has no configuration yet.
+Test(gateway_flow, callers_wait_for_the_configuration_of_a_starting_gateway)
 {
-    gateway_fixture world;
-    world.source.held_back = true;
-    world.add_upstream("bookings", [](taken_connection& taken) { taken.send(whole_answer("booked")); });
-    world.start();
-    world.send("POST", "/book/1");
-    world.loop.run_for(1ms);
-    cr_assert(world.answer.empty());
-    world.source.tell();
-    world.run_until_seen("booked");
+    gateway_fixture fixture;
+    fixture.source.delay_records = true;
+    fixture.add_upstream("bookings",
+                         [](taken_connection& connection) { connection.send(complete_response("booked")); });
+    fixture.start();
+    fixture.send("POST", "/book/1");
+    fixture.loop.run_for(1ms);
+    cr_assert(fixture.answer.empty());
+    fixture.source.publish_records();
+    fixture.run_until_received("booked");
 }
--- a/tests/edge/response_parser_test.cpp
+++ b/tests/edge/response_parser_test.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-/// Reads an answer in pieces of `step` bytes.
-struct reading
+/// Parses a response that arrives in parts of `step` bytes.
+struct parsed_response
 {
-    explicit reading(const std::string& bytes, std::size_t step, bool no_body = false)
+    explicit parsed_response(const std::string& bytes, std::size_t step, bool no_body = false)
         : parser(no_body)
     {
         for (std::size_t at = 0; at < bytes.size(); at += step) {
@@ -26,63 +26,64 @@
 
 } // namespace
 
-Test(response_parser, an_answer_is_the_same_however_it_is_cut)
+Test(response_parser, parses_a_response_split_at_any_byte)
 {
     const std::string bytes = "HTTP/1.1 200 OK\r\nSeal: abc\r\nContent-Length: 5\r\n\r\nhello";
     for (std::size_t step = 1; step <= bytes.size(); ++step) {
-        reading read(bytes, step);
-        cr_assert(read.parser.state() == response_state::complete, "step %zu", step);
-        cr_assert(read.body == "hello");
-        cr_assert(read.parser.head().status == 200 && read.parser.head().value_of("seal") == "abc");
+        parsed_response parsed(bytes, step);
+        cr_assert(parsed.parser.state() == response_state::complete, "step %zu", step);
+        cr_assert(parsed.body == "hello");
+        cr_assert(parsed.parser.head().status == 200 && parsed.parser.head().value_of("seal") == "abc");
     }
 }
 
-Test(response_parser, chunks_are_taken_off)
+Test(response_parser, removes_chunk_framing)
 {
     const std::string bytes =
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n";
     for (std::size_t step = 1; step <= bytes.size(); ++step) {
-        reading read(bytes, step);
-        cr_assert(read.parser.state() == response_state::complete && read.body == "abcde", "step %zu", step);
+        parsed_response parsed(bytes, step);
+        cr_assert(parsed.parser.state() == response_state::complete && parsed.body == "abcde", "step %zu",
+                  step);
     }
 }
 
-// An upstream sends a second answer behind the first. The bytes belong to no request and are not taken for
-// one.
-Test(response_parser, bytes_behind_an_answer_are_kept_apart)
+// Guards against treating a second, unsolicited response on a connection as part of the first one.
+Test(response_parser, separates_bytes_after_a_complete_response)
 {
-    reading read("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n", 1000);
-    cr_assert(read.parser.state() == response_state::complete && read.body == "ok");
-    cr_assert(read.parser.excess() == "HTTP/1.1 200 OK\r\n");
+    parsed_response parsed("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n", 1000);
+    cr_assert(parsed.parser.state() == response_state::complete && parsed.body == "ok");
+    cr_assert(parsed.parser.unparsed_bytes() == "HTTP/1.1 200 OK\r\n");
 }
 
-// An answer without a length ends with its connection: closed in order it is whole. One with a length that
-// ends early is broken and must not look complete.
-Test(response_parser, the_end_of_the_connection_completes_only_an_answer_without_a_length)
+// Guards against taking a truncated response for a complete one when the upstream closes the connection. Only
+// a response without a length or chunks is completed by an orderly close.
+Test(response_parser, end_of_connection_completes_only_close_delimited_responses)
 {
-    reading unframed("HTTP/1.1 200 OK\r\n\r\nall of it", 7);
-    cr_assert(unframed.parser.ends_with_connection());
-    cr_assert(unframed.parser.take_eof() == response_state::complete && unframed.body == "all of it");
-    reading cut("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", 7);
-    cr_assert(cut.parser.take_eof() == response_state::invalid);
-    reading chunked("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", 7);
+    parsed_response close_delimited("HTTP/1.1 200 OK\r\n\r\nall of it", 7);
+    cr_assert(close_delimited.parser.is_close_delimited());
+    cr_assert(close_delimited.parser.take_eof() == response_state::complete &&
+              close_delimited.body == "all of it");
+    parsed_response truncated("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", 7);
+    cr_assert(truncated.parser.take_eof() == response_state::invalid);
+    parsed_response chunked("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", 7);
     cr_assert(chunked.parser.take_eof() == response_state::invalid);
-    reading head("HTTP/1.1 200 OK\r\n", 7);
+    parsed_response head("HTTP/1.1 200 OK\r\n", 7);
     cr_assert(head.parser.take_eof() == response_state::invalid);
 }
 
-Test(response_parser, what_is_no_answer_is_invalid)
+Test(response_parser, rejects_malformed_responses)
 {
     for (const char* bytes :
          {"garbage\r\n\r\n", "HTTP/1.1 abc OK\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n",
           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"}) {
-        reading read(bytes, 1000);
-        cr_assert(read.parser.state() == response_state::invalid, "%s", bytes);
+        parsed_response parsed(bytes, 1000);
+        cr_assert(parsed.parser.state() == response_state::invalid, "%s", bytes);
     }
 }
 
-Test(response_parser, an_answer_to_head_has_no_body)
+Test(response_parser, response_to_head_has_no_body)
 {
-    reading read("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n", 1000, true);
-    cr_assert(read.parser.state() == response_state::complete);
+    parsed_response parsed("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n", 1000, true);
+    cr_assert(parsed.parser.state() == response_state::complete);
 }
--- a/tests/edge/upstream_request_test.cpp
+++ b/tests/edge/upstream_request_test.cpp
@@ -9,25 +9,25 @@
 
 auto names() -> header_names
 {
-    header_names made;
-    made.time_left_ms = "Time-Left";
-    made.account = "Account";
-    made.expected_upstream = "Expected";
-    made.helpers = "Helpers";
-    made.engine_priority = "Priority";
-    made.resume_after = "Resume-After";
-    made.account_key = "Authorization";
-    return made;
+    header_names result;
+    result.time_left_ms = "Time-Left";
+    result.account = "Account";
+    result.expected_upstream = "Expected";
+    result.prefill_engines = "Helpers";
+    result.engine_priority = "Priority";
+    result.resume_after = "Resume-After";
+    result.account_key = "Authorization";
+    return result;
 }
 
 auto request() -> caller_request
 {
-    caller_request made;
-    made.method = "POST";
-    made.target = "/path?query=1";
-    made.fields = {{"Host", "a.example"}, {"X-Own", "1"}};
-    made.body = "body";
-    return made;
+    caller_request result;
+    result.method = "POST";
+    result.target = "/path?query=1";
+    result.fields = {{"Host", "a.example"}, {"X-Own", "1"}};
+    result.body = "body";
+    return result;
 }
 
 auto has(const std::string& text, const std::string& line) -> bool
@@ -37,25 +37,25 @@
 
 } // namespace
 
-// A caller names another account, another upstream and a time of its own, and its key is in the request. The
-// upstream must get what the gateway knows, and never the key.
-Test(upstream_request, what_a_caller_says_of_the_gateways_fields_is_left_out)
+// Guards against callers that set the gateway's own fields to choose an account, an upstream or a deadline,
+// and against passing their API key to the upstream.
+Test(upstream_request, replaces_gateway_fields_sent_by_the_caller)
 {
-    caller_request made = request();
-    made.fields.insert(made.fields.end(), {{"account", "somebody"},
-                                           {"EXPECTED", "other"},
-                                           {"Time-Left", "999999"},
-                                           {"Helpers", "10.0.0.1:1"},
-                                           {"Priority", "0"},
-                                           {"authorization", "Bearer secret"}});
-    const std::string text = upstream_request(made, names(), {1500ms, "u1", "mine", "", ""});
+    caller_request result = request();
+    result.fields.insert(result.fields.end(), {{"account", "somebody"},
+                                               {"EXPECTED", "other"},
+                                               {"Time-Left", "999999"},
+                                               {"Helpers", "10.0.0.1:1"},
+                                               {"Priority", "0"},
+                                               {"authorization", "Bearer secret"}});
+    const std::string text = upstream_request(result, names(), {1500ms, "u1", "mine", "", ""});
     cr_assert(has(text, "Account: mine") && has(text, "Expected: u1") && has(text, "Time-Left: 1500"));
     for (const char* foreign : {"somebody", "other", "999999", "10.0.0.1:1", "Priority", "secret"}) {
         cr_assert(text.find(foreign) == std::string::npos, "%s", foreign);
     }
 }
 
-Test(upstream_request, method_target_body_and_other_fields_stay)
+Test(upstream_request, keeps_method_target_body_and_other_fields)
 {
     const std::string text = upstream_request(request(), names(), {1s, "u1", "", "", ""});
     cr_assert(text.starts_with("POST /path?query=1 HTTP/1.1\r\n"));
@@ -64,25 +64,25 @@
     cr_assert(text.find("Account") == std::string::npos);
 }
 
-Test(upstream_request, fields_of_one_connection_are_left_out)
+Test(upstream_request, removes_hop_by_hop_fields)
 {
-    caller_request made = request();
-    made.fields.insert(
-        made.fields.end(),
+    caller_request result = request();
+    result.fields.insert(
+        result.fields.end(),
         {{"Connection", "keep-alive, X-Hop"}, {"X-Hop", "1"}, {"Transfer-Encoding", "chunked"}});
-    const std::string text = upstream_request(made, names(), {1s, "u1", "", "", ""});
+    const std::string text = upstream_request(result, names(), {1s, "u1", "", "", ""});
     cr_assert(text.find("X-Hop") == std::string::npos && text.find("chunked") == std::string::npos);
 }
 
-// A timer fires late and nothing is left: the upstream is told one millisecond, never none or a time below
-// zero, which would be no limit.
-Test(upstream_request, time_left_is_never_less_than_a_millisecond)
+// Guards against sending a zero or negative remaining time when a timer fires late: upstreams would treat it
+// as no limit.
+Test(upstream_request, sends_at_least_one_millisecond_of_remaining_time)
 {
     const std::string text = upstream_request(request(), names(), {-5ms, "u1", "", "", ""});
     cr_assert(has(text, "Time-Left: 1"));
 }
 
-Test(upstream_request, a_resumed_stream_and_its_helpers_are_told)
+Test(upstream_request, sends_the_resume_position_and_prefill_engines)
 {
     const std::string text =
         upstream_request(request(), names(), {1s, "u1", "", "12", "10.0.0.1:1,10.0.0.2:1"});
--- a/tests/platform/record_decoder_test.cpp
+++ b/tests/platform/record_decoder_test.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-Test(record_decoder, an_entry_becomes_an_upstream)
+Test(record_decoder, decodes_an_upstream_entry)
 {
     const auto entry = std::get<upstream_entry>(entry_of(good_entry));
     cr_assert(entry.id == "i-1" && entry.service == "s" && entry.address == "10.0.0.9:8080");
@@ -26,9 +26,9 @@
     cr_assert(entry.cold_remaining == duration(1500ms) && entry.started_ms == 7);
 }
 
-// Another writer has put something else under an upstream's name. It names no upstream to use, and nothing
-// ends.
-Test(record_decoder, entries_that_can_not_be_read_name_no_upstream)
+// Guards against a crash or a bogus upstream when another writer stores something else under an upstream's
+// key.
+Test(record_decoder, malformed_entries_are_unusable)
 {
     for (const char* bad : {"", "no json", "[]", "{}", "\xff\xfe",
                             R"({"service":3,"address":"10.0.0.9:80","zone":"z","state":"ready"})",
@@ -39,13 +39,13 @@
     }
 }
 
-Test(record_decoder, a_draining_replica_is_leaving)
+Test(record_decoder, decodes_a_draining_replica)
 {
     const auto fact = entry_of(R"({"service":"s","address":"10.0.0.9:80","zone":"z","state":"draining"})");
     cr_assert(std::get<upstream_entry>(fact).leaving);
 }
 
-Test(record_decoder, a_configuration_is_read_whole)
+Test(record_decoder, decodes_a_complete_configuration)
 {
     const auto fact = decode_record({"op/config", R"({"version":7,
         "routes":[{"name":"r","host":"A.Example","pathPrefix":"/x/","kind":"streaming","timeoutMs":9000,
@@ -60,13 +60,12 @@
         "tenants":[{"name":"t1","apiKeys":["k"],"priority":2}]})",
                                      9, false});
     const auto config = std::get<std::shared_ptr<const fleet_config>>(fact);
-    cr_assert(config->version() == 7 && config->routes().size() == 2,
-              "a route without a service is left out");
+    cr_assert(config->version() == 7 && config->routes().size() == 2, "a route without a service is skipped");
     const route_rule* route = config->match_route("a.example", "/x/1");
     cr_assert(route != nullptr && route->repeatable() && route->services.size() == 2);
     cr_assert(route->time_limit == duration(9s) && route->tbt_target == duration(200ms));
     cr_assert(config->match_route("a.example", "/y/1")->kind == call_kind::non_idempotent,
-              "an unknown kind may be repeated least");
+              "an unknown kind counts as non-idempotent");
     const service_rule* service = config->find_service("s");
     cr_assert(service->engine && service->engine->prefill_tokens_per_ms == 256.0 &&
               service->cold_time == duration(3s));
@@ -74,7 +73,7 @@
     cr_assert(config->find_account("k")->name == "t1" && config->requires_api_key());
 }
 
-Test(record_decoder, a_configuration_that_can_not_be_read_is_none)
+Test(record_decoder, malformed_configurations_are_unusable)
 {
     for (const char* bad :
          {"", "{", "{}", R"({"version":"7","routes":[],"services":[]})", R"({"version":7})"}) {
@@ -83,13 +82,13 @@
     cr_assert(std::holds_alternative<unusable_record>(decode_record({"other/key", "{}", 1, false})));
 }
 
-Test(record_decoder, a_zone_that_is_emptied_is_a_domain_out)
+Test(record_decoder, decodes_an_evacuated_zone_as_a_drained_domain)
 {
     const auto fact = decode_record({"op/evacuate/north-a", "{}", 1, false});
     cr_assert(std::get<drained_domain>(fact).failure_domain == "north-a");
 }
 
-Test(record_decoder, pages_and_changes_are_read)
+Test(record_decoder, decodes_pages_and_changes)
 {
     const auto page = decode_page(
         R"({"items":[{"key":"a","value":"aGk=","revision":4},{"key":"b","value":"!","revision":5},{"key":7}],
--- a/tests/platform/settings_file_test.cpp
+++ b/tests/platform/settings_file_test.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-Test(settings_file, a_good_file_has_no_mistake)
+Test(settings_file, accepts_a_valid_file)
 {
     const auto reading = read_node_settings(good);
     cr_assert(reading.mistakes.empty());
@@ -36,7 +36,7 @@
     cr_assert(reading.settings.store_address == "10.200.1.7:8223");
 }
 
-Test(settings_file, every_mistake_is_named_at_once)
+Test(settings_file, reports_all_mistakes)
 {
     std::string text = without("zone");
     text += "listen.front=nowhere\nbounds.graceS=soon\n";
@@ -45,13 +45,13 @@
     cr_assert(read_node_settings("").mistakes.size() >= 6);
 }
 
-Test(replica_orders, orders_are_whole_requests)
+Test(replica_orders, encodes_orders_as_complete_requests)
 {
     const auto orders = replica_orders();
     const std::string reserve = orders.reserve({"10.0.0.9:80", "t1", 500, 3s});
     cr_assert(reserve.starts_with("POST /dragonflymill/order HTTP/1.1\r\nHost: 10.0.0.9:80\r\n"));
     cr_assert(reserve.ends_with(R"({"operation":"reserve","id":"t1","tokens":500,"holdMs":3000})"));
     cr_assert(orders.release({"10.0.0.9:80", "t1"}).ends_with(R"({"operation":"release","id":"t1"})"));
-    cr_assert(orders.list_helpers({{"10.0.0.9:80", "t1"}, {"10.0.0.8:80", ""}}) ==
+    cr_assert(orders.encode_prefill_engines({{"10.0.0.9:80", "t1"}, {"10.0.0.8:80", ""}}) ==
               "10.0.0.9:80/t1,10.0.0.8:80");
 }
