--- a/include/dragonflymill/retry/retry_budget.h
+++ b/include/dragonflymill/retry/retry_budget.h
@@ -4,37 +4,37 @@
 
 namespace dragonflymill {
 
-/// Retries allowed as a share of successes, so that a fault which fails every call can't multiply the load.
+/// Limits retries to a fraction of the successes, so that a fault which fails every call can't multiply the
+/// load.
 class retry_budget
 {
 public:
-    /// Each success allows `share` of a retry; at most `most` are saved up, and so many are there at the
-    /// start.
-    retry_budget(double share, double most)
+    /// Each success adds `share` of a retry to the budget, up to `most`; the budget starts full.
+    retry_budget(double share, double capacity)
         : share_(share)
-        , most_(most)
-        , saved_(most)
+        , capacity_(capacity)
+        , available_(capacity)
     {
     }
 
-    /// Notes a success.
-    void succeeded() { saved_ = std::min(most_, saved_ + share_); }
-    /// Takes one retry; false if none is left.
+    /// Adds to the budget after a success.
+    void succeeded() { available_ = std::min(capacity_, available_ + share_); }
+    /// Takes one retry from the budget; returns false if less than one is left.
     [[nodiscard]] auto take() -> bool
     {
-        if (saved_ < 1.0) {
+        if (available_ < 1.0) {
             return false;
         }
-        saved_ -= 1.0;
+        available_ -= 1.0;
         return true;
     }
-    /// Retries saved up.
-    [[nodiscard]] auto saved() const -> double { return saved_; }
+    /// Returns the retries in the budget.
+    [[nodiscard]] auto available() const -> double { return available_; }
 
 private:
     double share_;
-    double most_;
-    double saved_;
+    double capacity_;
+    double available_;
 };
 
 } // namespace dragonflymill
--- a/src/retry/retry_rules.cpp
+++ b/src/retry/retry_rules.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::uint64_t most_doublings = 20;
+constexpr std::uint64_t max_doublings = 20;
 
 auto remedy_for(const failed_attempt& attempt) -> const char*
 {
@@ -35,13 +35,13 @@
 auto retry_rules::failed(instant now, const failed_attempt& attempt, const deadline_budget& limit)
     -> retry_decision
 {
-    const duration wait = wait_before(attempt);
-    if (limit.remaining(now) < wait + settings_.least_useful) {
+    const duration wait = backoff_before(attempt);
+    if (limit.remaining(now) < wait + settings_.min_attempt_time) {
         refusal answer = final_answer(attempt, wait);
         answer.code = limit.expired(now) ? refusal_code::deadline : answer.code;
         return answer;
     }
-    if (!may_repeat(attempt)) {
+    if (!may_retry(attempt)) {
         return final_answer(attempt, wait);
     }
     const bool running_stream = attempt.kind == call_kind::stream && attempt.ran == ran_state::unknown;
@@ -52,36 +52,35 @@
     return retry_at{now + wait};
 }
 
-auto retry_rules::may_repeat(const failed_attempt& attempt) const -> bool
+auto retry_rules::may_retry(const failed_attempt& attempt) const -> bool
 {
-    // Guards against a booking made twice: a call whose fate is unknown and that does harm when run twice is
-    // never sent again, whoever asks. What was surely not run may be.
+    // Guards against a booking made twice: a non-repeatable call whose outcome is unknown is never sent
+    // again. One that was certainly not run may be.
     if (attempt.ran == ran_state::unknown && attempt.kind == call_kind::non_repeatable) {
         return false;
     }
     return is_passing(attempt.code) && attempt.attempts < settings_.max_attempts;
 }
 
-auto retry_rules::wait_before(const failed_attempt& attempt) -> duration
+auto retry_rules::backoff_before(const failed_attempt& attempt) -> duration
 {
-    if (attempt.others_left) {
+    if (attempt.has_untried_upstream) {
         return duration::zero();
     }
-    const std::uint64_t doublings =
-        std::min(std::max<std::uint64_t>(attempt.attempts, 1) - 1, most_doublings);
+    const std::uint64_t doublings = std::min(std::max<std::uint64_t>(attempt.attempts, 1) - 1, max_doublings);
     const auto longest = static_cast<double>(settings_.max_backoff.count());
     const double grown =
         static_cast<double>(settings_.initial_backoff.count()) * static_cast<double>(1ULL << doublings);
-    // A random half of the wait keeps calls that failed together from coming back together.
+    // Half of the backoff is random, so that calls which failed together don't retry together.
     const double spread = std::min(grown, longest) * (0.5 + 0.5 * random_.unit());
     return std::max(attempt.retry_after, duration(static_cast<duration::rep>(spread)));
 }
 
 auto retry_rules::final_answer(const failed_attempt& attempt, duration wait) const -> refusal
 {
-    const duration asked = std::max({attempt.retry_after, wait, settings_.initial_backoff});
+    const duration retry_after = std::max({attempt.retry_after, wait, settings_.initial_backoff});
     const bool can_help = is_passing(attempt.code);
-    return {attempt.code, attempt.ran, can_help ? asked : duration::zero(), remedy_for(attempt)};
+    return {attempt.code, attempt.ran, can_help ? retry_after : duration::zero(), remedy_for(attempt)};
 }
 
 } // namespace dragonflymill
--- a/tests/retry/retry_rules_test.cpp
+++ b/tests/retry/retry_rules_test.cpp
@@ -22,7 +22,7 @@
     return std::holds_alternative<retry_at>(decision);
 }
 
-auto answer(const retry_decision& decision) -> refusal
+auto final_answer(const retry_decision& decision) -> refusal
 {
     cr_assert(std::holds_alternative<refusal>(decision));
     return std::get<refusal>(decision);
@@ -30,12 +30,12 @@
 
 } // namespace
 
-Test(retry_rules, decisions_repeat_for_one_seed)
+Test(retry_rules, same_seed_gives_the_same_decisions)
 {
     retry_rules one(5);
     retry_rules other(5);
     failed_attempt again = failure(call_kind::idempotent, ran_state::no);
-    again.others_left = false;
+    again.has_untried_upstream = false;
     for (int i = 0; i < 15; ++i) {
         cr_assert(one.failed(now, again, limit_of(60s)) == other.failed(now, again, limit_of(60s)));
     }
@@ -43,13 +43,13 @@
 
 FAULT_CELL(request_dispatch, process_dies)
 {
-    // A pensioner is billed twice. A booking is sent, its upstream dies, and the gateway sends it to another
-    // one. Cause: "may have been run" is taken for "was not run". The answer comes at once and says unknown.
+    // The upstream of a booking dies after the call was sent. Treating "may have been run" as "not run" would
+    // send it to another upstream and make the booking twice. It must be refused at once as unknown.
     retry_rules rules(1);
     const auto decided =
         rules.failed(now, failure(call_kind::non_repeatable, ran_state::unknown), limit_of(60s));
-    cr_assert(answer(decided).ran == ran_state::unknown);
-    cr_assert(answer(decided).code == refusal_code::upstream_gone);
+    cr_assert(final_answer(decided).ran == ran_state::unknown);
+    cr_assert(final_answer(decided).code == refusal_code::upstream_gone);
     cr_assert(retried(rules.failed(now, failure(call_kind::non_repeatable, ran_state::no), limit_of(60s))));
     cr_assert(retried(rules.failed(now, failure(call_kind::idempotent, ran_state::unknown), limit_of(60s))));
     cr_assert(retried(rules.failed(now, failure(call_kind::stream, ran_state::unknown), limit_of(60s))));
@@ -57,29 +57,28 @@
 
 FAULT_CELL(request_dispatch, partition)
 {
-    // All callers wait longer and longer. A partition fails every call, each is tried four times, and the
-    // upstreams that are left get four times the load. Cause: retries without a budget.
+    // A partition fails every call. Without a retry budget each is tried four times, and the remaining
+    // upstreams get four times the load.
     retry_rules rules(1);
     const failed_attempt each = failure(call_kind::idempotent, ran_state::no);
     int retries = 0;
     for (int i = 0; i < 1'000; ++i) {
         retries += retried(rules.failed(now, each, limit_of(60s))) ? 1 : 0;
     }
-    cr_assert(retries == 20, "what was saved up and no more");
-    cr_assert(answer(rules.failed(now, each, limit_of(60s))).retry_after > duration::zero());
+    cr_assert(retries == 20, "only the initial budget may be used");
+    cr_assert(final_answer(rules.failed(now, each, limit_of(60s))).retry_after > duration::zero());
     for (int i = 0; i < 20; ++i) {
         rules.succeeded();
     }
     cr_assert(retried(rules.failed(now, each, limit_of(60s))));
     cr_assert(retried(rules.failed(now, each, limit_of(60s))));
-    cr_assert(not retried(rules.failed(now, each, limit_of(60s))), "a tenth of the successes");
+    cr_assert(not retried(rules.failed(now, each, limit_of(60s))), "successes add a tenth of a retry each");
 }
 
 FAULT_CELL(request_resume, domain_out)
 {
-    // Dossier checks are lost when a failure domain goes. Each of its running streams has to move at once,
-    // after the budget for fresh retries is used up. Cause: resumes of accepted work drawn from the same
-    // budget.
+    // A failure domain is lost after the budget of ordinary retries is used up. Each of its running streams
+    // must move at once, so resumes must not draw from the same budget.
     retry_rules rules(1);
     while (retried(rules.failed(now, failure(call_kind::idempotent, ran_state::no), limit_of(60s)))) {
     }
@@ -90,27 +89,28 @@
 
 FAULT_CELL(request_dispatch, paused_wakes_late)
 {
-    // A caller is answered long after its limit. The gateway was paused; the limit is over, or nearly, when
-    // it decides. Cause: a retry that can't end in time is made all the same.
+    // The gateway was paused, and the time limit has expired or nearly so when it decides. A retry that can't
+    // finish in time must not be made.
     retry_rules rules(1);
     const failed_attempt each = failure(call_kind::idempotent, ran_state::no);
-    cr_assert(answer(rules.failed(now + 61s, each, limit_of(60s))).code == refusal_code::deadline);
-    cr_assert(answer(rules.failed(now + 60s - 10ms, each, limit_of(60s))).code ==
+    cr_assert(final_answer(rules.failed(now + 61s, each, limit_of(60s))).code == refusal_code::deadline);
+    cr_assert(final_answer(rules.failed(now + 60s - 10ms, each, limit_of(60s))).code ==
               refusal_code::upstream_gone);
     failed_attempt waits = each;
     waits.retry_after = 30s;
-    waits.others_left = false;
+    waits.has_untried_upstream = false;
     const auto decided = rules.failed(now, waits, limit_of(20s));
-    cr_assert(answer(decided).retry_after >= 30s, "told at once, with the time that the upstream asks for");
+    cr_assert(final_answer(decided).retry_after >= 30s,
+              "must state the retry time that the upstream asked for");
 }
 
 FAULT_CELL(request_dispatch, same_twice)
 {
-    // One request is tried without end. Every try is refused as overloaded by the only upstream left. Cause:
-    // tries without a bound, and without a growing wait.
+    // The only upstream left refuses every attempt as overloaded. Attempts must be bounded and their backoff
+    // must grow.
     retry_rules rules(1);
     failed_attempt each = failure(call_kind::idempotent, ran_state::no, refusal_code::overloaded);
-    each.others_left = false;
+    each.has_untried_upstream = false;
     duration last = duration::zero();
     for (; each.attempts < 4; ++each.attempts) {
         const auto decided = rules.failed(now, each, limit_of(60s));
@@ -118,13 +118,13 @@
         cr_assert(std::get<retry_at>(decided).when - now > last);
         last = std::get<retry_at>(decided).when - now;
     }
-    cr_assert(answer(rules.failed(now, each, limit_of(60s))).code == refusal_code::overloaded);
+    cr_assert(final_answer(rules.failed(now, each, limit_of(60s))).code == refusal_code::overloaded);
 }
 
 FAULT_CELL(request_dispatch, config_stale)
 {
-    // A caller waits for tries that can't end differently. Its prompt is too large, or no upstream is
-    // configured. Cause: lasting refusals are treated like passing ones.
+    // The refusal can't change: the prompt is too large, or no upstream is configured. Permanent refusals
+    // must not be retried.
     retry_rules rules(1);
     for (const auto code : {refusal_code::too_large, refusal_code::no_route, refusal_code::account_limit,
                             refusal_code::cancelled, refusal_code::deadline}) {
