--- a/src/edge/exchange.cpp
+++ b/src/edge/exchange.cpp
@@ -164,10 +164,10 @@
     queued_call_.client_timeout_at = arrived_ + std::min(limit, direct::client_timeout_for(*route_));
     queued_call_.deadline_at = deadline_;
     const duration elapsed = context_.retry_detector.elapsed(route_->name, limit, arrived_);
-    const duration longest_wait = elapsed > duration::zero() ? (queued_call_.client_timeout_at - arrived_) *
-                                                                   returning_caller_wait_percent / 100
-                                                             : route_->latency_target * 5 / 4;
-    queued_call_.queue_timeout_at = std::min(deadline_ - direct::min_attempt_time, arrived_ + longest_wait);
+    const duration max_queue_wait = elapsed > duration::zero() ? (queued_call_.client_timeout_at - arrived_) *
+                                                                     returning_caller_wait_percent / 100
+                                                               : route_->latency_target * 5 / 4;
+    queued_call_.queue_timeout_at = std::min(deadline_ - direct::min_attempt_time, arrived_ + max_queue_wait);
 }
 
 auto exchange::authenticate() -> bool
@@ -228,9 +228,9 @@
         send();
         return;
     }
-    const std::string name = request_id_ + "-" + std::to_string(queued_call_.attempts.count());
-    reservation_ = std::make_shared<memory_reservation>(context_.loop, context_.timers, context_.orders, name,
-                                                        std::move(pieces));
+    const std::string reservation_name = request_id_ + "-" + std::to_string(queued_call_.attempts.count());
+    reservation_ = std::make_shared<memory_reservation>(context_.loop, context_.timers, context_.orders,
+                                                        reservation_name, std::move(pieces));
     using outcome = memory_reservation::outcome;
     reservation_->start(
         [weak = weak_from_this(), attempt = queued_call_.attempts.count()](const outcome& reserved) {
--- a/tests/edge/bad_input_test.cpp
+++ b/tests/edge/bad_input_test.cpp
@@ -13,7 +13,7 @@
     fixture.start();
     fixture.send_raw("POST /book/1 HTTP/1.1\r\nHost: h.exam");
     fixture.run_until([&] { return fixture.caller_ended; });
-    cr_assert(fixture.answer.starts_with("HTTP/1.1 408 "), "%s", fixture.answer.c_str());
+    cr_assert(fixture.received.starts_with("HTTP/1.1 408 "), "%s", fixture.received.c_str());
     cr_assert(upstream.requests.empty());
 }
 
@@ -27,7 +27,7 @@
     fixture.send_raw(
         "POST /book/1 HTTP/1.1\r\nHost: h.example\r\nRequest-Id: r1\r\nContent-Length: 10\r\n\r\nhalf");
     fixture.run_until([&] { return fixture.caller_ended; });
-    cr_assert(fixture.answer.starts_with("HTTP/1.1 408 "), "%s", fixture.answer.c_str());
+    cr_assert(fixture.received.starts_with("HTTP/1.1 408 "), "%s", fixture.received.c_str());
     cr_assert(upstream.requests.empty());
 }
 
@@ -42,7 +42,7 @@
     fixture.run_until([&] { return !upstream.requests.empty(); });
     fixture.caller.shutdown(boost::asio::ip::tcp::socket::shutdown_send);
     fixture.run_until([&] { return upstream.requests.at(0)->ended; });
-    cr_assert(fixture.answer.empty(), "%s", fixture.answer.c_str());
+    cr_assert(fixture.received.empty(), "%s", fixture.received.c_str());
 }
 
 // Guards against forwarding a second, unsolicited response of an upstream: the caller's next request on the
@@ -61,7 +61,7 @@
     fixture.run_until_received("first");
     fixture.send("POST", "/book/1", "", "b");
     fixture.run_until_received("second");
-    cr_assert(fixture.answer.find("stray") == std::string::npos, "%s", fixture.answer.c_str());
+    cr_assert(fixture.received.find("stray") == std::string::npos, "%s", fixture.received.c_str());
     cr_assert(requests == 2);
 }
 
--- a/tests/edge/gateway_fixture.h
+++ b/tests/edge/gateway_fixture.h
@@ -44,7 +44,7 @@
     void publish_records()
     {
         direct::records_update update;
-        for (const auto& [key, fact] : facts) {
+        for (const auto& [key, decoded] : decoded_records) {
             update.records.push_back({key, "", ++update.as_of, false});
         }
         update.whole = true;
@@ -54,10 +54,10 @@
     void stop() override {}
     [[nodiscard]] auto decode(const direct::fleet_record& record) const -> direct::decoded_record override
     {
-        return facts.at(record.key);
+        return decoded_records.at(record.key);
     }
 
-    std::map<std::string, direct::decoded_record> facts;
+    std::map<std::string, direct::decoded_record> decoded_records;
     /// Delivers records only when `publish_records` is called, rather than at the start.
     bool delay_records = false;
 
@@ -79,7 +79,7 @@
         entry.address = upstreams_.back()->address();
         entry.failure_domain = "a";
         entry.slots = 8;
-        source.facts["upstream/" + entry.id] = entry;
+        source.decoded_records["upstream/" + entry.id] = entry;
         return *upstreams_.back();
     }
 
@@ -87,7 +87,7 @@
     void start(bool configured = true)
     {
         if (configured) {
-            source.facts["config"] = std::make_shared<const direct::fleet_config>(config());
+            source.decoded_records["config"] = std::make_shared<const direct::fleet_config>(config());
         }
         settings.name = "g";
         settings.failure_domain = "a";
@@ -138,21 +138,21 @@
         const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(30);
         while (!done()) {
             cr_assert(std::chrono::steady_clock::now() < end, "timed out; received so far: %s",
-                      answer.c_str());
+                      received.c_str());
             loop.run_one_for(std::chrono::milliseconds(20));
         }
     }
     /// Runs the loop until the caller has received `text`.
     void run_until_received(const std::string& text)
     {
-        run_until([&] { return answer.find(text) != std::string::npos; });
+        run_until([&] { return received.find(text) != std::string::npos; });
     }
 
     boost::asio::io_context loop{1};
     static_record_source source;
     std::unique_ptr<direct_gateway> gateway;
     boost::asio::ip::tcp::socket caller{loop};
-    std::string answer;
+    std::string received;
     bool caller_ended = false;
     /// Settings of the gateway; `start` sets addresses and names.
     direct_gateway_settings settings;
@@ -199,7 +199,7 @@
                 caller_ended = true;
                 return;
             }
-            answer.append(buffer_.data(), bytes);
+            received.append(buffer_.data(), bytes);
             read_responses();
         });
     }
--- a/tests/edge/gateway_flow_test.cpp
+++ b/tests/edge/gateway_flow_test.cpp
@@ -63,7 +63,7 @@
     cr_assert(seen.find("Account: acme\r\n") != std::string::npos && count(seen, "Account: ") == 1);
     cr_assert(seen.find("Expected: bookings-1\r\n") != std::string::npos && count(seen, "Expected: ") == 1);
     cr_assert(seen.find("key1") == std::string::npos, "the API key must not be forwarded");
-    cr_assert(fixture.answer.find("Seal: s1\r\n") != std::string::npos);
+    cr_assert(fixture.received.find("Seal: s1\r\n") != std::string::npos);
 }
 
 // Guards against running a non-idempotent call twice: if the connection is reset after the request was sent,
@@ -81,7 +81,7 @@
     fixture.start();
     fixture.send("POST", "/book/1", "", "slot 7");
     fixture.run_until_received("\"ran\":\"unknown\"");
-    cr_assert(fixture.answer.starts_with("HTTP/1.1 502 "));
+    cr_assert(fixture.received.starts_with("HTTP/1.1 502 "));
     cr_assert(sent == 1, "%d", sent);
 }
 
@@ -113,7 +113,7 @@
     fixture.start();
     fixture.send("POST", "/book/1", "", "slot 7");
     fixture.run_until_received("HTTP/1.1 502 ");
-    cr_assert(fixture.answer.find("secret") == std::string::npos);
+    cr_assert(fixture.received.find("secret") == std::string::npos);
 }
 
 Test(gateway_flow, does_not_forward_a_truncated_response)
@@ -126,7 +126,7 @@
     fixture.start();
     fixture.send("POST", "/book/1", "", "slot 7");
     fixture.run_until_received("HTTP/1.1 502 ");
-    cr_assert(fixture.answer.find("half") == std::string::npos);
+    cr_assert(fixture.received.find("half") == std::string::npos);
 }
 
 // An engine fails in the middle of the third event. The stream resumes at another engine after the second
@@ -154,11 +154,11 @@
     fixture.run_until_received("\r\n0\r\n\r\n");
     cr_assert(resumed.size() == 1 && resumed[0].find("Last-Event-Id: 2\r\n") != std::string::npos);
     for (int id = 1; id <= 4; ++id) {
-        cr_assert(count(fixture.answer, event(id)) == 1, "event %d", id);
+        cr_assert(count(fixture.received, event(id)) == 1, "event %d", id);
     }
-    cr_assert(count(fixture.answer, "HTTP/1.1 200") == 1 &&
-              fixture.answer.find("Seal: first") != std::string::npos);
-    cr_assert(fixture.answer.find("second") == std::string::npos);
+    cr_assert(count(fixture.received, "HTTP/1.1 200") == 1 &&
+              fixture.received.find("Seal: first") != std::string::npos);
+    cr_assert(fixture.received.find("second") == std::string::npos);
 }
 
 // Guards against a truncated stream that looks complete: when no engine is left to resume it, the caller's
@@ -175,8 +175,8 @@
     fixture.start();
     fixture.send("POST", "/chat/1", "Tokens: 100,10\r\n", "hello");
     fixture.run_until([&] { return fixture.caller_ended; });
-    cr_assert(count(fixture.answer, event(1)) == 1);
-    cr_assert(fixture.answer.find("\r\n0\r\n\r\n") == std::string::npos);
+    cr_assert(count(fixture.received, event(1)) == 1);
+    cr_assert(fixture.received.find("\r\n0\r\n\r\n") == std::string::npos);
 }
 
 // Guards against engines that keep generating for a disconnected caller.
@@ -205,7 +205,7 @@
         "POST /book/1 HTTP/1.1\r\nHost: h.example\r\nAuthorization: Bearer key1\r\nContent-Length: 4\r\n"
         "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\nPOST /book/2 HTTP/1.1\r\nHost: h.example\r\n\r\n");
     fixture.run_until([&] { return fixture.caller_ended; });
-    cr_assert(fixture.answer.starts_with("HTTP/1.1 400 "));
+    cr_assert(fixture.received.starts_with("HTTP/1.1 400 "));
     cr_assert(upstream.requests.empty());
 }
 
@@ -230,8 +230,8 @@
     fixture.start(false);
     fixture.send("POST", "/book/1");
     fixture.run_until_received("\"ran\":\"no\"");
-    cr_assert(fixture.answer.starts_with("HTTP/1.1 503 "));
-    cr_assert(fixture.answer.find("Retry-After: 1.00\r\n") != std::string::npos);
+    cr_assert(fixture.received.starts_with("HTTP/1.1 503 "));
+    cr_assert(fixture.received.find("Retry-After: 1.00\r\n") != std::string::npos);
 }
 
 Test(gateway_flow, serves_several_requests_on_a_connection)
@@ -242,7 +242,7 @@
     fixture.start();
     for (int request = 1; request <= 3; ++request) {
         fixture.send("POST", "/book/1", "", "slot 7");
-        fixture.run_until([&] { return count(fixture.answer, "done") == request; });
+        fixture.run_until([&] { return count(fixture.received, "done") == request; });
     }
     cr_assert(upstream.requests.size() == 3);
     cr_assert(!fixture.caller_ended);
@@ -255,7 +255,7 @@
     auto& engine = begin_shutdown_during_stream(fixture);
     engine.requests.at(0)->send(chunk(event(2)) + "0\r\n\r\n");
     fixture.run_until_received("\r\n0\r\n\r\n");
-    cr_assert(fixture.answer.find(event(2)) != std::string::npos);
+    cr_assert(fixture.received.find(event(2)) != std::string::npos);
     fixture.run_until([&] { return fixture.loop.stopped(); });
 }
 
@@ -269,8 +269,8 @@
     fixture.connect_another_caller();
     fixture.send("POST", "/chat/2", "Tokens: 100,10\r\n", "hello");
     fixture.run_until_received("Retry-After: 1.00");
-    cr_assert(fixture.answer.find("HTTP/1.1 503") != std::string::npos);
-    cr_assert(fixture.answer.find("\"ran\":\"no\"") != std::string::npos);
+    cr_assert(fixture.received.find("HTTP/1.1 503") != std::string::npos);
+    cr_assert(fixture.received.find("\"ran\":\"no\"") != std::string::npos);
     cr_assert(engine.requests.size() == 1, "the late call must not reach an upstream");
 }
 
@@ -284,7 +284,7 @@
     fixture.start();
     fixture.send("POST", "/book/1");
     fixture.loop.run_for(1ms);
-    cr_assert(fixture.answer.empty());
+    cr_assert(fixture.received.empty());
     fixture.source.publish_records();
     fixture.run_until_received("booked");
 }
