--- a/include/dragonflymill/serve/order_messages.h
+++ b/include/dragonflymill/serve/order_messages.h
@@ -11,81 +11,81 @@
 
 namespace dragonflymill {
 
-/// A sidecar and where to call it.
-struct sidecar_place
+/// Address of a sidecar.
+struct sidecar_endpoint
 {
-    upstream_id upstream; ///< The upstream that it stands beside.
-    std::string address;  ///< IP and port of its gRPC listener.
+    upstream_id upstream; ///< Upstream that the sidecar serves.
+    std::string address;  ///< IP address and port of its gRPC listener.
 
-    friend auto operator==(const sidecar_place&, const sidecar_place&) -> bool = default;
+    friend auto operator==(const sidecar_endpoint&, const sidecar_endpoint&) -> bool = default;
 };
 
-/// Who is to have a model loaded.
+/// Sidecars whose engines are declared to load a model.
 struct model_replicas
 {
-    model_id model;                    ///< The model.
-    std::vector<sidecar_place> places; ///< All sidecars whose engines are to have it.
+    model_id model;                       ///< The model.
+    std::vector<sidecar_endpoint> places; ///< All sidecars of the model's replicas.
 
     friend auto operator==(const model_replicas&, const model_replicas&) -> bool = default;
 };
 
-/// Inputs of `sidecar_core` that tell whether it may act and what its engine is to be.
+/// Inputs of `sidecar_core` about its own lease and the declared state of its engine.
 namespace sidecar_input {
 
-/// Gateways can reach this process from now on: it alone holds its address.
+/// This process has bound its address, so gateways can reach it.
 struct listening
 {
 };
-/// A peer that was asked then has no newer bundle in force.
+/// A peer has confirmed that it has no newer bundle in force.
 struct bundle_confirmed
 {
-    instant asked; ///< When it was asked.
+    instant asked; ///< Time when the peer was asked.
 };
-/// Whether other processes of the fleet are known, alive or not.
+/// The set of known processes of the fleet, alive or not, has changed.
 struct peers_changed
 {
-    bool any = false; ///< False for a process on its own.
+    bool any = false; ///< False if no other process is known.
 };
-/// The bundle in force changed what the engine is to be, or where sidecars are.
+/// The bundle in force changed the declared state of the engine or the addresses of sidecars.
 struct declared_changed
 {
-    std::string own_address;               ///< Where gateways call this sidecar.
-    std::optional<declared_engine> wanted; ///< Nothing if the bundle doesn't say: then no order is given.
-    std::vector<model_replicas> replicas;  ///< All models of the bundle.
+    std::string own_address;               ///< Address at which gateways call this sidecar.
+    std::optional<declared_engine> wanted; ///< Declared state; no order is sent if it is empty.
+    std::vector<model_replicas> replicas;  ///< Replicas of every model of the bundle.
 };
-/// A sidecar answered that was asked by `ask_sidecar`.
+/// A sidecar answered an `ask_sidecar`.
 struct sidecar_answered
 {
-    upstream_id upstream;          ///< The upstream that it says it stands beside.
-    instant asked;                 ///< When the question left.
-    incarnation holder;            ///< Its start.
-    std::vector<model_id> models;  ///< What its engine has loaded.
-    std::vector<model_id> loading; ///< What its engine is loading.
-    bool draining = false;         ///< Whether it takes no new work.
+    upstream_id upstream;          ///< Upstream that the sidecar reports to serve.
+    instant asked;                 ///< Time when the query was sent.
+    incarnation holder;            ///< Incarnation of the sidecar that answered.
+    std::vector<model_id> models;  ///< Models that its engine has loaded.
+    std::vector<model_id> loading; ///< Models that its engine is loading.
+    bool draining = false;         ///< Whether it accepts no new work.
 };
-/// How an order went.
+/// Result of an order.
 struct order_answered
 {
-    std::uint64_t number = 0;                ///< Number that it was given with.
-    order_result how = order_result::failed; ///< The engine's answer; `failed` if none will come.
+    std::uint64_t number = 0;                ///< Number of the order.
+    order_result how = order_result::failed; ///< Answer of the engine; `failed` if none will come.
 };
 
 } // namespace sidecar_input
 
-/// Outputs of `sidecar_core` for the same.
+/// Outputs of `sidecar_core` for its own lease and the orders to its engine.
 namespace sidecar_output {
 
-/// Ask a sidecar, on a connection opened for it, which start of it answers there and what its engine has.
+/// Queries a sidecar, on a new connection, for its incarnation and the models of its engine.
 struct ask_sidecar
 {
-    sidecar_place place; ///< Whom.
+    sidecar_endpoint place; ///< Sidecar to query.
 };
-/// Give an order to the engine, but not after `not_after`.
+/// Sends an order to the engine, but not after `not_after`.
 struct send_order
 {
-    std::uint64_t number = 0; ///< Repeated in the answer.
-    engine_order order;       ///< What to do.
-    instant not_after;        ///< Last moment for the first byte to leave.
+    std::uint64_t number = 0; ///< Number that the answer repeats.
+    engine_order order;       ///< The order.
+    instant not_after;        ///< Latest time to send the first byte.
 };
 
 } // namespace sidecar_output
--- a/include/dragonflymill/serve/sidecar_messages.h
+++ b/include/dragonflymill/serve/sidecar_messages.h
@@ -14,29 +14,29 @@
 
 namespace dragonflymill {
 
-/// Number that a sidecar's shell gives to each call it receives.
+/// Number that a sidecar's shell assigns to each received call.
 using call_number = number_id<struct call_tag>;
 
 /// Inputs of `sidecar_core`.
 namespace sidecar_input {
 
-/// A gateway puts a try.
+/// A gateway submitted an attempt.
 struct attempt_opened
 {
     call_number call;  ///< The call.
-    attempt_spec spec; ///< What is asked.
+    attempt_spec spec; ///< The attempt.
 };
-/// The whole prompt has come.
+/// The whole prompt was received.
 struct prompt_received
 {
     call_number call; ///< The call.
 };
-/// The gateway cancelled the call, or its connection is gone.
+/// The gateway cancelled the call, or its connection was lost.
 struct call_cancelled
 {
     call_number call; ///< The call.
 };
-/// A sign of life of a gateway: what it holds here is renewed.
+/// A gateway sent a heartbeat, which renews everything it holds here.
 struct gateway_heartbeat
 {
     process_id gateway; ///< The gateway.
@@ -45,75 +45,75 @@
 struct engine_tokens
 {
     call_number call;                ///< The call.
-    token_offset offset = 0;         ///< Place of the first of them.
-    std::vector<std::string> tokens; ///< Their text.
+    token_offset offset = 0;         ///< Position of the first token in the answer.
+    std::vector<std::string> tokens; ///< Text of the tokens.
 };
 /// The engine ended the stream.
 struct engine_finished
 {
     call_number call;        ///< The call.
-    token_offset tokens = 0; ///< Length of the whole answer.
-    std::string reason;      ///< Why it ends there.
-    std::string source{};    ///< Address where other engines read the span, if it is an export.
+    token_offset tokens = 0; ///< Length of the whole answer in tokens.
+    std::string reason;      ///< Finish reason.
+    std::string source{};    ///< Address from which other engines import the span, for an export.
 };
-/// The stream broke or was never taken.
+/// The stream failed or was never accepted.
 struct engine_failed
 {
     call_number call;        ///< The call.
     bool sent = true;        ///< Whether a byte of the request may have reached the engine.
-    bool overloaded = false; ///< Whether the engine said that it has too much load.
-    bool not_loaded = false; ///< Whether the engine said that the model or adapter is not loaded.
+    bool overloaded = false; ///< Whether the engine rejected it for overload.
+    bool not_loaded = false; ///< Whether the engine rejected it because the model or adapter is not loaded.
 };
-/// One thing that the engine holds.
+/// A stream or KV span that the engine holds.
 struct engine_holding
 {
-    std::string id;         ///< Engine's name for it.
-    token_count tokens = 0; ///< Memory it takes.
-    bool kv = false;        ///< Whether it is a span of KV cache, not a stream.
+    std::string id;         ///< Name at the engine.
+    token_count tokens = 0; ///< KV cache memory in tokens.
+    bool kv = false;        ///< Whether it is a span of KV cache instead of a stream.
 
     friend auto operator==(const engine_holding&, const engine_holding&) -> bool = default;
 };
-/// The engine's word about itself.
+/// A report of the engine about its state.
 struct engine_reported
 {
-    upstream_report status;           ///< Start, cold or not, queue.
-    token_count memory_used = 0;      ///< Memory held, in tokens.
-    std::vector<engine_holding> held; ///< What it holds.
-    engine_view view{};               ///< Models, adapters, role and the number that fences orders.
-    std::vector<model_id> loading{};  ///< Models that it is loading.
+    upstream_report status;           ///< Start number, cold flag and queue length.
+    token_count memory_used = 0;      ///< KV cache memory in use, in tokens.
+    std::vector<engine_holding> held; ///< Streams and spans that it holds.
+    engine_view view{};               ///< Models, adapters, role and fencing number.
+    std::vector<model_id> loading{};  ///< Models being loaded.
 };
 /// The engine confirmed that it no longer holds a stream.
 struct cancel_confirmed
 {
-    std::string engine_request; ///< Engine's name of the stream.
+    std::string engine_request; ///< Name of the stream at the engine.
 };
 /// The engine confirmed that it no longer holds a span of KV cache.
 struct span_released
 {
-    std::string span; ///< Its name.
+    std::string span; ///< Name of the span.
 };
-/// A gateway asks for a share of a gang.
+/// A gateway requests a gang share.
 struct share_requested
 {
     call_number call;     ///< The call.
     process_id gateway;   ///< The gateway.
-    reserve_share wanted; ///< What it asks for.
+    reserve_share wanted; ///< The requested share.
 };
-/// A gateway wants to keep a share.
+/// A gateway requests the renewal of a share.
 struct share_renewal_requested
 {
     call_number call;   ///< The call.
     process_id gateway; ///< The gateway.
-    renew_share wanted; ///< Which share.
+    renew_share wanted; ///< Share to renew.
 };
-/// A gateway gives a share back, also one that may never have been granted.
+/// A gateway releases a share, which may never have been granted.
 struct share_release_requested
 {
     call_number call;   ///< The call.
     process_id gateway; ///< The gateway.
-    gang_key gang;      ///< The round that it was for.
+    gang_key gang;      ///< Round of the share.
 };
-/// A gateway asks for a ticket.
+/// A gateway requests a ticket.
 struct ticket_requested
 {
     call_number call;  ///< The call.
@@ -123,13 +123,13 @@
 struct service_called
 {
     call_number call;  ///< The call.
-    service_spec spec; ///< What is asked.
+    service_spec spec; ///< The service call.
 };
-/// A gateway asks what became of a call.
+/// A gateway queries the status of a call.
 struct status_requested
 {
     call_number call;  ///< The call.
-    service_spec spec; ///< Route, account, ticket or key.
+    service_spec spec; ///< Route, account, and ticket or idempotency key.
 };
 /// The plain service answered.
 struct service_answered
@@ -137,37 +137,37 @@
     call_number call;   ///< The call that ran it.
     once_answer answer; ///< The answer.
 };
-/// No answer of the plain service will come.
+/// The call to the plain service failed: no answer will come.
 struct service_failed
 {
     call_number call; ///< The call that ran it.
-    bool sent = true; ///< Whether a byte of it may have reached the service.
+    bool sent = true; ///< Whether a byte of the call may have reached the service.
 };
-/// The failure domain or the upstream was taken out, or is back.
+/// The failure domain or the upstream was drained or returned to service.
 struct drain_changed
 {
-    bool out = false; ///< Whether it takes no new work.
+    bool out = false; ///< Whether it accepts no new work.
 };
-/// One plain service's route as the bundle in force has it.
+/// Route of a plain service in the bundle in force.
 struct route_view
 {
-    route_id route;                     ///< Its name.
-    std::vector<upstream_id> upstreams; ///< Upstreams that serve it.
-    duration remember_for{0};           ///< How long the outcome of a named call is kept.
+    route_id route;                     ///< Name of the route.
+    std::vector<upstream_id> upstreams; ///< Upstreams of the route.
+    duration remember_for{0};           ///< Retention time of the outcome of a call by ticket or key.
 };
 /// The bundle in force changed the routes to plain services.
 struct routes_changed
 {
-    std::vector<route_view> routes; ///< All of them.
+    std::vector<route_view> routes; ///< All routes.
 };
-/// The bundle in force changed what the upstream carries.
+/// The bundle in force changed the capacity of the upstream.
 struct capacity_changed
 {
-    work_cost cold = 1;     ///< Work in cold start.
-    work_cost warm = 1;     ///< Work when warm.
-    model_id warm_up_model; ///< Model of an engine's warm-up requests; empty for none.
+    work_cost cold = 1;     ///< Capacity in cold start.
+    work_cost warm = 1;     ///< Capacity when warm.
+    model_id warm_up_model; ///< Model of warm-up requests; empty for none.
 };
-/// The process is to stop: nothing new is taken.
+/// The process shall stop: new work is refused.
 struct stop_requested
 {
 };
@@ -178,7 +178,7 @@
 
 } // namespace sidecar_input
 
-/// Everything that `sidecar_core` takes in.
+/// Any input of `sidecar_core`.
 using sidecar_event = std::variant<
     sidecar_input::attempt_opened, sidecar_input::prompt_received, sidecar_input::call_cancelled,
     sidecar_input::gateway_heartbeat, sidecar_input::engine_tokens, sidecar_input::engine_finished,
@@ -194,115 +194,115 @@
 /// Outputs of `sidecar_core`.
 namespace sidecar_output {
 
-/// Tell the gateway to send the prompt.
+/// Grants an attempt: the gateway may send the prompt.
 struct grant_attempt
 {
     call_number call; ///< The call.
-    lease_id lease;   ///< Its permit.
+    lease_id lease;   ///< Lease of its permit.
 };
-/// End the call with a refusal.
+/// Ends the call with a refusal.
 struct refuse_call
 {
     call_number call; ///< The call.
     refusal why;      ///< The refusal.
 };
-/// Put the stream to the engine, but not after `not_after`: the process may be paused in between.
+/// Starts the stream at the engine, but not after `not_after`, since the process may be paused in between.
 struct start_stream
 {
-    call_number call;           ///< The call, whose prompt the shell holds.
-    std::string engine_request; ///< Engine's name for it.
-    attempt_spec spec;          ///< What to run.
-    instant not_after;          ///< Last moment for the first byte to leave.
+    call_number call;           ///< The call; the shell holds its prompt.
+    std::string engine_request; ///< Name at the engine.
+    attempt_spec spec;          ///< Specification of the work.
+    instant not_after;          ///< Latest time to send the first byte.
 };
-/// Put a request of the sidecar's own to the engine, with any prompt of `spec.prompt_tokens` tokens that no
-/// earlier one began with. Nobody waits for its answer.
+/// Sends a warm-up request to the engine, with any prompt of `spec.prompt_tokens` tokens that shares no
+/// prefix with an earlier one. Its answer is discarded.
 struct start_warm_up
 {
-    call_number call;           ///< A number that the shell never gives to a call.
-    std::string engine_request; ///< Engine's name for it.
-    attempt_spec spec;          ///< What to run.
-    instant not_after;          ///< Last moment for the first byte to leave.
+    call_number call;           ///< Number that the shell never assigns to a call.
+    std::string engine_request; ///< Name at the engine.
+    attempt_spec spec;          ///< Specification of the work.
+    instant not_after;          ///< Latest time to send the first byte.
 };
-/// Pass tokens on.
+/// Forwards tokens to the gateway.
 struct send_tokens
 {
     call_number call;                ///< The call.
-    token_offset offset = 0;         ///< Place of the first of them.
-    std::vector<std::string> tokens; ///< Their text.
+    token_offset offset = 0;         ///< Position of the first token in the answer.
+    std::vector<std::string> tokens; ///< Text of the tokens.
 };
-/// Tell the gateway that the answer is whole.
+/// Reports to the gateway that the answer is complete.
 struct finish_attempt
 {
     call_number call;        ///< The call.
-    token_offset tokens = 0; ///< Length of the whole answer.
-    std::string reason;      ///< Why it ends there.
-    std::string source{};    ///< Address where other engines read the span, if it was an export.
+    token_offset tokens = 0; ///< Length of the whole answer in tokens.
+    std::string reason;      ///< Finish reason.
+    std::string source{};    ///< Address from which other engines import the span, for an export.
 };
-/// Close the connection of a stream, if there is one, and cancel it at the engine. Answered by
-/// `cancel_confirmed`; asked again until then.
+/// Closes the connection of a stream, if there is one, and cancels the stream at the engine. Repeated until
+/// `cancel_confirmed`.
 struct cancel_stream
 {
     call_number call;           ///< The call.
-    std::string engine_request; ///< Engine's name for it.
+    std::string engine_request; ///< Name at the engine.
 };
-/// Release a span of KV cache at the engine. Answered by `span_released`; asked again until then.
+/// Releases a span of KV cache at the engine. Repeated until `span_released`.
 struct release_span
 {
-    std::string span; ///< Its name.
+    std::string span; ///< Name of the span.
 };
-/// Tell the gateway that its share stands.
+/// Confirms a share to the gateway.
 struct grant_share
 {
     call_number call;      ///< The call.
-    lease_id lease;        ///< The share's lease.
-    std::uint64_t ask = 0; ///< Number of the ask that it answers.
+    lease_id lease;        ///< Lease of the share.
+    std::uint64_t ask = 0; ///< Number of the reservation or renewal that it answers.
 };
-/// Tell the gateway that it has no share.
+/// Refuses a share.
 struct refuse_share
 {
     call_number call;     ///< The call.
     refusal why;          ///< The refusal.
-    bool in_line = false; ///< Whether the next free memory is kept for it.
+    bool in_line = false; ///< Whether the next free memory is reserved for it.
 };
-/// Tell the gateway that nothing is held for its round any more.
+/// Confirms to the gateway that nothing is held for its round.
 struct confirm_share_return
 {
     call_number call; ///< The call.
 };
-/// Call the plain service, but not after `not_after`.
+/// Calls the plain service, but not after `not_after`.
 struct run_service
 {
     call_number call;   ///< The call.
-    service_spec spec;  ///< What to run.
-    instant not_after;  ///< Last moment for the first byte to leave.
-    duration remaining; ///< How long to wait for the answer.
+    service_spec spec;  ///< Specification of the work.
+    instant not_after;  ///< Latest time to send the first byte.
+    duration remaining; ///< Time to wait for the answer.
 };
-/// Answer the gateway with the service's answer.
+/// Sends the service's answer to the gateway.
 struct answer_service
 {
     call_number call;      ///< The call.
     once_answer answer;    ///< The answer.
-    bool replayed = false; ///< Whether it is the remembered answer of an earlier call.
+    bool replayed = false; ///< Whether it is the stored answer of an earlier call.
 };
-/// Give the gateway a ticket.
+/// Sends a ticket to the gateway.
 struct send_ticket
 {
     call_number call;   ///< The call.
-    std::string ticket; ///< The ticket's text.
+    std::string ticket; ///< Text of the ticket.
 };
-/// Tell the gateway that the call it asks about is running, or may still be submitted.
+/// Reports to the gateway that the queried call is running or may still be submitted.
 struct report_running
 {
     call_number call; ///< The call.
 };
-/// Everything is finished: the process may end.
+/// All work has finished: the process may exit.
 struct all_done
 {
 };
 
 } // namespace sidecar_output
 
-/// Everything that `sidecar_core` wants done.
+/// Any action requested by `sidecar_core`.
 using sidecar_action =
     std::variant<sidecar_output::grant_attempt, sidecar_output::refuse_call, sidecar_output::start_stream,
                  sidecar_output::start_warm_up, sidecar_output::send_tokens, sidecar_output::finish_attempt,
--- a/src/serve/link_schedule.cpp
+++ b/src/serve/link_schedule.cpp
@@ -7,14 +7,15 @@
 
 namespace {
 
-/// A dead upstream is asked this many intervals apart, each time on a new connection: there may be a hundred.
-constexpr std::int64_t dead_spacing = 4;
+/// Heartbeat intervals between two probes of a dead upstream, each on a new connection. It limits the control
+/// traffic when about a hundred upstreams are dead.
+constexpr std::int64_t dead_probe_intervals = 4;
 
 } // namespace
 
-link_schedule::link_schedule(instant now, heartbeat_options times)
-    : times_(times)
-    , doubt_since_(now)
+link_schedule::link_schedule(instant now, heartbeat_options options)
+    : options_(options)
+    , suspect_since_(now)
 {
     opened(now, length_class::interactive);
 }
@@ -29,15 +30,15 @@
 void link_schedule::set_in_flight(instant now, length_class size, std::size_t count, bool sent)
 {
     auto& it = at(size);
-    it.work = count;
-    if (count > 0 && !it.waits_since) {
-        it.waits_since = now;
+    it.in_flight = count;
+    if (count > 0 && !it.waiting_since) {
+        it.waiting_since = now;
     }
     if (count == 0 && !it.unanswered) {
-        it.waits_since.reset();
+        it.waiting_since.reset();
     }
     if (sent) {
-        it.asked_at = now;
+        it.sent_at = now;
         it.unanswered = true;
     }
 }
@@ -45,16 +46,16 @@
 void link_schedule::received(instant now, length_class size)
 {
     auto& it = at(size);
-    it.heard_at = now;
-    if (std::exchange(it.unanswered, false) && it.asked_at) {
-        told_at_ = std::max(told_at_, it.asked_at);
+    it.received_at = now;
+    if (std::exchange(it.unanswered, false) && it.sent_at) {
+        renewed_at_ = std::max(renewed_at_, it.sent_at);
     }
-    it.waits_since.reset();
-    if (it.work > 0) {
-        it.waits_since = now;
+    it.waiting_since.reset();
+    if (it.in_flight > 0) {
+        it.waiting_since = now;
     }
-    heard_at_ = now;
-    doubt_since_.reset();
+    received_at_ = now;
+    suspect_since_.reset();
 }
 
 void link_schedule::disconnected(instant now, length_class size)
@@ -62,12 +63,12 @@
     if (!at(size).open) {
         return;
     }
-    doubt(now);
-    told_at_.reset();
+    mark_suspect(now);
+    renewed_at_.reset();
     if (size != length_class::interactive) {
         at(size) = connection{};
     }
-    at(length_class::interactive).heard_at.reset();
+    at(length_class::interactive).received_at.reset();
     request_heartbeat(now, length_class::interactive);
 }
 
@@ -75,38 +76,39 @@
 {
     auto& it = at(size);
     if (it.unanswered) {
-        return; // one is under way
+        return; // a message is awaiting its answer already
     }
     it.unanswered = true;
-    it.ask_now = true;
-    it.waits_since = it.waits_since.value_or(now);
+    it.heartbeat_due = true;
+    it.waiting_since = it.waiting_since.value_or(now);
 }
 
 auto link_schedule::recently_alive(instant now, length_class size) const -> bool
 {
     const auto& it = connections_[index_of(size)];
-    return it.heard_at && now - *it.heard_at <= times_.silence_timeout();
+    return it.received_at && now - *it.received_at <= options_.silence_timeout();
 }
 
-void link_schedule::doubt(instant now)
+void link_schedule::mark_suspect(instant now)
 {
-    if (!doubt_since_) {
-        doubt_since_ = now;
+    if (!suspect_since_) {
+        suspect_since_ = now;
     }
 }
 
-auto link_schedule::longest_quiet() const -> duration
+auto link_schedule::max_silence() const -> duration
 {
-    return state_ == upstream_state::dead ? std::max(times_.silence_timeout(), times_.interval * dead_spacing)
-                                          : times_.silence_timeout();
+    return state_ == upstream_state::dead
+               ? std::max(options_.silence_timeout(), options_.interval * dead_probe_intervals)
+               : options_.silence_timeout();
 }
 
-void link_schedule::give_up(instant now, length_class size, link_actions& out)
+void link_schedule::close_silent(instant now, length_class size, link_actions& out)
 {
-    if (!heard_at_ || now - *heard_at_ > times_.silence_timeout()) {
-        doubt(now);
+    if (!received_at_ || now - *received_at_ > options_.silence_timeout()) {
+        mark_suspect(now);
     }
-    told_at_.reset(); // what was said on it may be lost
+    renewed_at_.reset(); // messages sent on it may be lost
     if (size == length_class::interactive) {
         out.replace.push_back(size);
         opened(now, size);
@@ -117,45 +119,46 @@
     request_heartbeat(now, length_class::interactive);
 }
 
-void link_schedule::ask_where_due(instant now, link_actions& out)
+void link_schedule::send_due_heartbeats(instant now, link_actions& out)
 {
     for (const auto size : all_length_classes) {
         auto& it = at(size);
-        const bool quiet =
-            state_ != upstream_state::dead && it.waits_since && now - *it.waits_since >= times_.interval;
-        const bool spaced = !it.asked_at || now - *it.asked_at >= times_.interval;
-        if (!it.open || !(it.ask_now || quiet) || !spaced) {
+        const bool silent = state_ != upstream_state::dead && it.waiting_since &&
+                            now - *it.waiting_since >= options_.interval;
+        const bool interval_passed = !it.sent_at || now - *it.sent_at >= options_.interval;
+        if (!it.open || !(it.heartbeat_due || silent) || !interval_passed) {
             continue;
         }
-        it.ask_now = false;
+        it.heartbeat_due = false;
         it.unanswered = true;
-        it.asked_at = now;
+        it.sent_at = now;
         out.heartbeat.push_back(size);
     }
 }
 
 void link_schedule::renew_if_due(instant now, link_actions& out)
 {
-    if (told_at_ && now - *told_at_ < times_.renewal_interval) {
+    if (renewed_at_ && now - *renewed_at_ < options_.renewal_interval) {
         return;
     }
     const auto busy = std::find_if(connections_.begin(), connections_.end(), [&](const auto& it) {
-        return it.work > 0 && (!it.asked_at || now - *it.asked_at >= times_.interval);
+        return it.in_flight > 0 && (!it.sent_at || now - *it.sent_at >= options_.interval);
     });
     if (busy == connections_.end()) {
         return;
     }
-    busy->asked_at = now;
+    busy->sent_at = now;
     busy->unanswered = true;
     out.heartbeat.push_back(all_length_classes[static_cast<std::size_t>(busy - connections_.begin())]);
 }
 
 auto link_schedule::present_state(instant now) const -> upstream_state
 {
-    if (!doubt_since_) {
+    if (!suspect_since_) {
         return upstream_state::alive;
     }
-    return now - *doubt_since_ > times_.silence_timeout() ? upstream_state::dead : upstream_state::suspect;
+    return now - *suspect_since_ > options_.silence_timeout() ? upstream_state::dead
+                                                              : upstream_state::suspect;
 }
 
 auto link_schedule::tick(instant now) -> link_actions
@@ -163,11 +166,11 @@
     link_actions out;
     for (const auto size : all_length_classes) {
         const auto& it = at(size);
-        if (it.open && it.waits_since && now - *it.waits_since > longest_quiet()) {
-            give_up(now, size, out);
+        if (it.open && it.waiting_since && now - *it.waiting_since > max_silence()) {
+            close_silent(now, size, out);
         }
     }
-    ask_where_due(now, out);
+    send_due_heartbeats(now, out);
     renew_if_due(now, out);
     const auto state = present_state(now);
     if (state != state_) {
--- a/src/serve/own_lease_renewer.cpp
+++ b/src/serve/own_lease_renewer.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-/// A lease lasts for three quarters of what a successor waits; the rest is for clocks that run unlike.
+/// A lease lasts for three quarters of a successor's wait; the rest is a margin for clock rate differences.
 constexpr int term_numerator = 3;
 constexpr int term_denominator = 4;
-/// Calls to the own address in the time that a successor waits: a lost one or two do no harm.
-constexpr int asks_a_lease = 5;
+/// Calls to the own address during a successor's wait, so that one or two may be lost.
+constexpr int renewals_per_lease = 5;
 
 } // namespace
 
@@ -26,7 +26,7 @@
     lease.term = options_.predecessor * term_numerator / term_denominator;
     lease.predecessor = options_.predecessor;
     lease_.emplace(now, lease);
-    next_ask_ = now;
+    next_renewal_ = now;
 }
 
 void own_lease_renewer::bundle_confirmed(instant asked)
@@ -38,7 +38,7 @@
 
 void own_lease_renewer::answered(const sidecar_input::sidecar_answered& answer)
 {
-    // Another upstream's sidecar at this address is a mistake in the bundle, and no successor.
+    // The sidecar of another upstream at this address is an error in the bundle and not a successor.
     if (lease_ && answer.upstream == options_.upstream) {
         lease_->confirmed(answer.asked, answer.holder);
     }
@@ -46,19 +46,19 @@
 
 void own_lease_renewer::tick(instant now, std::vector<sidecar_action>& actions)
 {
-    if (!lease_ || address_.empty() || now < next_ask_) {
+    if (!lease_ || address_.empty() || now < next_renewal_) {
         return;
     }
-    next_ask_ = now + options_.predecessor / asks_a_lease;
+    next_renewal_ = now + options_.predecessor / renewals_per_lease;
     actions.push_back(sidecar_output::ask_sidecar{{options_.upstream, address_}});
 }
 
-auto own_lease_renewer::until(instant now) -> instant
+auto own_lease_renewer::valid_until(instant now) -> instant
 {
     if (!lease_) {
         return instant::min();
     }
-    if (!peers_) {
+    if (!has_peers_) {
         lease_->bundle_confirmed(now);
     }
     return lease_->live(now) ? lease_->until() : instant::min();
--- a/src/serve/sidecar_core.cpp
+++ b/src/serve/sidecar_core.cpp
@@ -8,16 +8,16 @@
 
 namespace {
 
-/// When a long prompt may come back that met a gang's place in line.
-constexpr duration line_retry = 500ms;
+/// Retry time of a long prompt that is refused because free memory is reserved for a queued gang share.
+constexpr duration queue_retry = 500ms;
 
 auto order_options(instant now, const sidecar_core_options& options) -> order_dispatcher_options
 {
     order_dispatcher_options made;
     made.self = options.ledger.upstream;
-    made.keeper.start_seconds = options.start_seconds;
-    made.keeper.started = now;
-    made.keeper.predecessor_lease = options.own_lease_term;
+    made.tracker.start_seconds = options.start_seconds;
+    made.tracker.started = now;
+    made.tracker.predecessor_lease = options.own_lease_term;
     return made;
 }
 
@@ -30,7 +30,7 @@
     , attempts_(gate_, options.cancel_backoff, "warm-up-" + std::to_string(options.seed) + "-", options.watch)
     , shares_(gate_, options.ledger.upstream, options.seed)
     , services_(gate_, ledger_, options.ledger.upstream)
-    , self_check_({options.ledger.upstream, options.ledger.self, options.own_lease_term})
+    , own_lease_renewer_({options.ledger.upstream, options.ledger.self, options.own_lease_term})
     , orders_(order_options(now, options), options.seed)
     , last_step_(now)
     , reported_at_(now)
@@ -42,7 +42,7 @@
 {
     renew_own_lease(now);
     actions_out actions;
-    std::visit([&](const auto& input) { take(now, input, actions); }, event);
+    std::visit([&](const auto& input) { handle(now, input, actions); }, event);
     for (const auto lease : shares_.take_ended_permits()) {
         attempts_.share_ended(now, lease, actions);
     }
@@ -51,34 +51,34 @@
 
 void sidecar_core::renew_own_lease(instant now)
 {
-    // Guards against an old sidecar that was paused and wakes beside its successor: a booking might run in
-    // both. It shows as a gap between two steps that is longer than a successor waits, or as another start
-    // that answers at the own address.
+    // Guards against an old sidecar that resumes after a pause while its successor is running: a service call
+    // might run in both. It is detected by a gap between two steps that is longer than a successor waits, or
+    // by another incarnation that answers at the own address.
     superseded_ = superseded() || now - last_step_ > options_.own_lease_term;
     last_step_ = now;
-    ledger_.renew_own_lease(superseded_ ? instant::min() : self_check_.until(now));
+    ledger_.renew_own_lease(superseded_ ? instant::min() : own_lease_renewer_.valid_until(now));
 }
 
 auto sidecar_core::load(instant now) const -> upstream_load
 {
-    const auto gate = gate_.load();
-    upstream_load word;
-    word.queued_prefill = attempts_.queued_prefill();
-    word.running = attempts_.running();
-    word.outstanding = gate.outstanding;
-    word.allowed = gate.allowed;
-    word.memory_used = memory_used_;
-    word.age = now - reported_at_;
-    word.start = last_report_.start;
-    word.draining = gate.draining;
-    word.cold = gate.allowed < gate.ceiling;
-    return word;
+    const auto admission = gate_.load();
+    upstream_load report;
+    report.queued_prefill = attempts_.queued_prefill();
+    report.running = attempts_.running();
+    report.outstanding = admission.outstanding;
+    report.allowed = admission.allowed;
+    report.memory_used = memory_used_;
+    report.age = now - reported_at_;
+    report.start = last_report_.start;
+    report.draining = admission.draining;
+    report.cold = admission.allowed < admission.ceiling;
+    return report;
 }
 
 auto sidecar_core::refuse_if_not_ready(call_number call, actions_out& actions) const -> bool
 {
-    // Guards against a request that comes before the bundle does: the gate would call it larger than the
-    // upstream can ever hold, which is not so and sends the caller away for good.
+    // Guards against a request that arrives before the bundle: the permit controller would refuse it as
+    // larger than the upstream can ever hold, and the caller would not retry.
     if (knows_capacity_) {
         return false;
     }
@@ -97,10 +97,10 @@
     return true;
 }
 
-void sidecar_core::take(instant now, const sidecar_input::attempt_opened& input, actions_out& actions)
+void sidecar_core::handle(instant now, const sidecar_input::attempt_opened& input, actions_out& actions)
 {
     if (input.spec.share != lease_id{}) {
-        // What a gang began goes on in a planned stop, so only its share decides.
+        // A gang that has started continues during a planned stop, so only its share is checked.
         if (const auto lease = shares_.use(now, input.spec)) {
             attempts_.opened_under(now, input, *lease, actions);
             return;
@@ -116,35 +116,36 @@
     if (shares_.admits_only_reserved(now, input.spec)) {
         actions.push_back(
             sidecar_output::refuse_call{input.call,
-                                        {refusal_code::overloaded, ran_state::no, line_retry,
+                                        {refusal_code::overloaded, ran_state::no, queue_retry,
                                          "try another upstream, or this one after retry_after"}});
         return;
     }
     attempts_.opened(now, input, actions);
 }
 
-void sidecar_core::take(instant now, const sidecar_input::prompt_received& input, actions_out& actions)
+void sidecar_core::handle(instant now, const sidecar_input::prompt_received& input, actions_out& actions)
 {
     attempts_.prompt_received(now, input.call, actions);
 }
 
-void sidecar_core::take(instant now, const sidecar_input::call_cancelled& input, actions_out& actions)
+void sidecar_core::handle(instant now, const sidecar_input::call_cancelled& input, actions_out& actions)
 {
     attempts_.cancelled(now, input.call, actions);
     services_.cancelled(input.call);
 }
 
-void sidecar_core::take(instant now, const sidecar_input::gateway_heartbeat& input, actions_out& /*actions*/)
+void sidecar_core::handle(instant now, const sidecar_input::gateway_heartbeat& input,
+                          actions_out& /*actions*/)
 {
-    attempts_.gateway_heard(now, input.gateway);
+    attempts_.renew_gateway_permits(now, input.gateway);
 }
 
-void sidecar_core::take(instant now, const sidecar_input::engine_tokens& input, actions_out& actions)
+void sidecar_core::handle(instant now, const sidecar_input::engine_tokens& input, actions_out& actions)
 {
     attempts_.tokens(now, input, actions);
 }
 
-void sidecar_core::take(instant now, const sidecar_input::engine_finished& input, actions_out& actions)
+void sidecar_core::handle(instant now, const sidecar_input::engine_finished& input, actions_out& actions)
 {
     if (!input.source.empty()) {
         if (const auto* spec = attempts_.find(input.call)) {
@@ -154,27 +155,27 @@
     attempts_.finished(now, input, actions);
 }
 
-void sidecar_core::take(instant now, const sidecar_input::engine_failed& input, actions_out& actions)
+void sidecar_core::handle(instant now, const sidecar_input::engine_failed& input, actions_out& actions)
 {
     attempts_.failed(now, input, actions);
 }
 
-void sidecar_core::take(instant now, const sidecar_input::engine_reported& input, actions_out& actions)
+void sidecar_core::handle(instant now, const sidecar_input::engine_reported& input, actions_out& actions)
 {
     on_report(now, input, actions);
 }
 
-void sidecar_core::take(instant now, const sidecar_input::cancel_confirmed& input, actions_out& /*actions*/)
+void sidecar_core::handle(instant now, const sidecar_input::cancel_confirmed& input, actions_out& /*actions*/)
 {
     attempts_.cancel_confirmed(now, input.engine_request);
 }
 
-void sidecar_core::take(instant now, const sidecar_input::span_released& input, actions_out& /*actions*/)
+void sidecar_core::handle(instant now, const sidecar_input::span_released& input, actions_out& /*actions*/)
 {
     shares_.span_released(now, input.span);
 }
 
-void sidecar_core::take(instant now, const sidecar_input::share_requested& input, actions_out& actions)
+void sidecar_core::handle(instant now, const sidecar_input::share_requested& input, actions_out& actions)
 {
     if (stopping_) {
         actions.push_back(sidecar_output::refuse_share{
@@ -186,48 +187,48 @@
     shares_.asked(now, input, actions);
 }
 
-void sidecar_core::take(instant now, const sidecar_input::share_renewal_requested& input,
-                        actions_out& actions)
+void sidecar_core::handle(instant now, const sidecar_input::share_renewal_requested& input,
+                          actions_out& actions)
 {
     shares_.renewal_asked(now, input, actions);
 }
 
-void sidecar_core::take(instant now, const sidecar_input::share_release_requested& input,
-                        actions_out& actions)
+void sidecar_core::handle(instant now, const sidecar_input::share_release_requested& input,
+                          actions_out& actions)
 {
     shares_.returned(now, input, actions);
 }
 
-void sidecar_core::take(instant now, const sidecar_input::ticket_requested& input, actions_out& actions)
+void sidecar_core::handle(instant now, const sidecar_input::ticket_requested& input, actions_out& actions)
 {
     if (!refuse_if_stopping(input.call, actions)) {
         services_.ticket_asked(now, input, actions);
     }
 }
 
-void sidecar_core::take(instant now, const sidecar_input::service_called& input, actions_out& actions)
+void sidecar_core::handle(instant now, const sidecar_input::service_called& input, actions_out& actions)
 {
     if (!refuse_if_stopping(input.call, actions)) {
         services_.called(now, input, actions);
     }
 }
 
-void sidecar_core::take(instant now, const sidecar_input::status_requested& input, actions_out& actions)
+void sidecar_core::handle(instant now, const sidecar_input::status_requested& input, actions_out& actions)
 {
     services_.status_asked(now, input, actions);
 }
 
-void sidecar_core::take(instant now, const sidecar_input::service_answered& input, actions_out& actions)
+void sidecar_core::handle(instant now, const sidecar_input::service_answered& input, actions_out& actions)
 {
     services_.answered(now, input, actions);
 }
 
-void sidecar_core::take(instant now, const sidecar_input::service_failed& input, actions_out& actions)
+void sidecar_core::handle(instant now, const sidecar_input::service_failed& input, actions_out& actions)
 {
     services_.broken(now, input, actions);
 }
 
-void sidecar_core::take(instant now, const sidecar_input::drain_changed& input, actions_out& actions)
+void sidecar_core::handle(instant now, const sidecar_input::drain_changed& input, actions_out& actions)
 {
     drained_ = input.out;
     gate_.set_draining(now, drained_ || stopping_);
@@ -236,54 +237,55 @@
     }
 }
 
-void sidecar_core::take(instant now, const sidecar_input::capacity_changed& input, actions_out& /*actions*/)
+void sidecar_core::handle(instant now, const sidecar_input::capacity_changed& input, actions_out& /*actions*/)
 {
     knows_capacity_ = true;
     gate_.resize(now, input.cold, input.warm);
     warm_up_model_ = input.warm_up_model;
 }
 
-void sidecar_core::take(instant now, const sidecar_input::routes_changed& input, actions_out& /*actions*/)
+void sidecar_core::handle(instant now, const sidecar_input::routes_changed& input, actions_out& /*actions*/)
 {
     services_.routes_changed(now, input.routes);
 }
 
-void sidecar_core::take(instant now, const sidecar_input::listening& /*input*/, actions_out& /*actions*/)
+void sidecar_core::handle(instant now, const sidecar_input::listening& /*input*/, actions_out& /*actions*/)
 {
-    self_check_.listening(now);
+    own_lease_renewer_.listening(now);
     ledger_.extend_predecessor_lease(now + options_.own_lease_term);
 }
 
-void sidecar_core::take(instant /*now*/, const sidecar_input::bundle_confirmed& input,
-                        actions_out& /*actions*/)
+void sidecar_core::handle(instant /*now*/, const sidecar_input::bundle_confirmed& input,
+                          actions_out& /*actions*/)
 {
-    self_check_.bundle_confirmed(input.asked);
+    own_lease_renewer_.bundle_confirmed(input.asked);
 }
 
-void sidecar_core::take(instant /*now*/, const sidecar_input::peers_changed& input, actions_out& /*actions*/)
+void sidecar_core::handle(instant /*now*/, const sidecar_input::peers_changed& input,
+                          actions_out& /*actions*/)
 {
-    self_check_.peers_changed(input.any);
+    own_lease_renewer_.peers_changed(input.any);
 }
 
-void sidecar_core::take(instant now, const sidecar_input::declared_changed& input, actions_out& /*actions*/)
+void sidecar_core::handle(instant now, const sidecar_input::declared_changed& input, actions_out& /*actions*/)
 {
-    self_check_.address_changed(input.own_address);
+    own_lease_renewer_.address_changed(input.own_address);
     orders_.declared(now, input);
 }
 
-void sidecar_core::take(instant /*now*/, const sidecar_input::sidecar_answered& input,
-                        actions_out& /*actions*/)
+void sidecar_core::handle(instant /*now*/, const sidecar_input::sidecar_answered& input,
+                          actions_out& /*actions*/)
 {
-    self_check_.answered(input);
+    own_lease_renewer_.answered(input);
     orders_.answered(input);
 }
 
-void sidecar_core::take(instant now, const sidecar_input::order_answered& input, actions_out& /*actions*/)
+void sidecar_core::handle(instant now, const sidecar_input::order_answered& input, actions_out& /*actions*/)
 {
     orders_.answered(now, input);
 }
 
-void sidecar_core::take(instant now, const sidecar_input::stop_requested& /*input*/, actions_out& actions)
+void sidecar_core::handle(instant now, const sidecar_input::stop_requested& /*input*/, actions_out& actions)
 {
     stopping_ = true;
     gate_.set_draining(now, true);
@@ -291,7 +293,7 @@
     on_tick(now, actions);
 }
 
-void sidecar_core::take(instant now, const sidecar_input::tick& /*input*/, actions_out& actions)
+void sidecar_core::handle(instant now, const sidecar_input::tick& /*input*/, actions_out& actions)
 {
     on_tick(now, actions);
 }
@@ -314,12 +316,12 @@
     }
     services_.tick(now, actions);
     ledger_.tick(now);
-    self_check_.tick(now, actions);
+    own_lease_renewer_.tick(now, actions);
     if (!stopping_) {
         orders_.tick(now, ledger_.own_lease(), actions);
     }
-    if (stopping_ && in_flight() == 0 && !said_all_done_) {
-        said_all_done_ = true;
+    if (stopping_ && in_flight() == 0 && !all_done_sent_) {
+        all_done_sent_ = true;
         actions.push_back(sidecar_output::all_done{});
     }
 }
--- a/tests/serve/order_world.h
+++ b/tests/serve/order_world.h
@@ -11,35 +11,35 @@
 
 namespace dragonflymill::test {
 
-/// An engine as a sidecar sees it.
+/// Simulated engine of a sidecar.
 struct order_engine
 {
-    bool fences = true;                ///< Whether it refuses old fencing numbers.
-    bool weights_come = true;          ///< Whether loads succeed.
-    duration load_time = 2s;           ///< Time to load a model.
-    incarnation start{1};              ///< Its start.
-    std::vector<model_id> models;      ///< Loaded.
-    std::vector<engine_order> carried; ///< Orders that it has taken.
-    std::map<model_id, instant> loads; ///< Loading until then.
-    fencing_number fence;              ///< Highest number seen.
+    bool checks_fence = true;           ///< Whether it rejects old fencing numbers.
+    bool weights_available = true;      ///< Whether weights can be fetched, so that loads succeed.
+    duration load_duration = 2s;        ///< Time to load a model.
+    incarnation start{1};               ///< Start number.
+    std::vector<model_id> models;       ///< Loaded models.
+    std::vector<engine_order> accepted; ///< Accepted orders.
+    std::map<model_id, instant> loads;  ///< Models being loaded, with the time when each is loaded.
+    fencing_number fence;               ///< Highest fencing number received.
 
-    /// An order arrives.
-    auto take(instant now, const engine_order& order) -> order_result
+    /// Handles an order.
+    auto apply(instant now, const engine_order& order) -> order_result
     {
-        if (fences && order.fence < fence) {
+        if (checks_fence && order.fence < fence) {
             return order_result::fenced;
         }
-        fence = fences ? order.fence : fence;
-        carried.push_back(order);
+        fence = checks_fence ? order.fence : fence;
+        accepted.push_back(order);
         if (order.kind == order_kind::load_model) {
-            loads.emplace(order.model, now + load_time);
+            loads.emplace(order.model, now + load_duration);
         }
         std::erase_if(models, [&](const auto& model) {
             return order.kind == order_kind::unload_model && model == order.model;
         });
         return order_result::done;
     }
-    /// What it says of itself.
+    /// Completes the loads that are due and returns the engine's report.
     auto report(instant now) -> sidecar_input::engine_reported
     {
         sidecar_input::engine_reported report;
@@ -49,7 +49,7 @@
                 ++load;
                 continue;
             }
-            if (weights_come) {
+            if (weights_available) {
                 models.push_back(load->first);
             }
             load = loads.erase(load);
@@ -60,11 +60,11 @@
     }
 };
 
-/// A sidecar with its shell's work done on a virtual clock: ticks, reports of its engine, questions to
-/// others.
+/// A sidecar core and the work of its shell on a virtual clock: ticks, reports of its engine, queries to
+/// other sidecars.
 struct order_sidecar
 {
-    /// A start of the sidecar beside `own_engine`, numbered `self`, which holds the address at once.
+    /// Starts incarnation `self` of the sidecar of `own_engine`, which binds its address at once.
     order_sidecar(std::string name, instant now, order_engine& own_engine, std::uint64_t self)
         : upstream(std::move(name))
         , start(self)
@@ -73,32 +73,32 @@
     {
         feed(now, sidecar_input::listening{});
     }
-    /// Takes an event whose actions don't matter.
+    /// Applies an event and ignores the actions.
     void feed(instant now, const sidecar_event& event) { static_cast<void>(core->step(now, event)); }
-    /// One turn of the shell; `others` are those who can be asked, by upstream.
-    void turn(instant now, const std::map<upstream_id, order_sidecar*>& others)
+    /// Runs one iteration of the shell; `others` are the sidecars that answer queries, by upstream.
+    void run_shell(instant now, const std::map<upstream_id, order_sidecar*>& others)
     {
         if (now >= next_report) {
             next_report = now + 200ms;
             feed(now, engine->report(now));
         }
         for (const auto& action : core->step(now, sidecar_input::tick{})) {
-            if (const auto* ask = std::get_if<sidecar_output::ask_sidecar>(&action)) {
-                const auto asked = others.find(ask->place.upstream);
-                if (asked != others.end()) {
-                    feed(now, asked->second->answer(now));
+            if (const auto* query = std::get_if<sidecar_output::ask_sidecar>(&action)) {
+                const auto queried = others.find(query->place.upstream);
+                if (queried != others.end()) {
+                    feed(now, queried->second->answer(now));
                 }
             }
-            if (const auto* given = std::get_if<sidecar_output::send_order>(&action)) {
-                orders.push_back(*given);
-                const auto how = order_lost ? order_result::failed : engine->take(now, given->order);
+            if (const auto* sent = std::get_if<sidecar_output::send_order>(&action)) {
+                orders.push_back(*sent);
+                const auto how = order_lost ? order_result::failed : engine->apply(now, sent->order);
                 if (!answer_lost) {
-                    feed(now, sidecar_input::order_answered{given->number, how});
+                    feed(now, sidecar_input::order_answered{sent->number, how});
                 }
             }
         }
     }
-    /// Its answer to a question.
+    /// Returns its answer to a query.
     [[nodiscard]] auto answer(instant now) const -> sidecar_input::sidecar_answered
     {
         return {upstream,
@@ -108,7 +108,7 @@
                 core->orders().loading(),
                 core->load(now).draining};
     }
-    /// A booking by a key made at `made`, as call `number`.
+    /// Calls the booking service with an idempotency key, as call `number`.
     [[nodiscard]] auto book(instant now, std::uint64_t number, const std::string& key)
         -> std::vector<sidecar_action>
     {
@@ -120,14 +120,14 @@
         return core->step(now, sidecar_input::service_called{call_number(number), spec});
     }
 
-    upstream_id upstream;                           ///< Its upstream.
-    incarnation start;                              ///< Its start.
-    order_engine* engine;                           ///< Its engine.
-    std::unique_ptr<sidecar_core> core;             ///< What decides.
-    std::vector<sidecar_output::send_order> orders; ///< Orders given.
-    bool order_lost = false;                        ///< Orders don't reach the engine.
-    bool answer_lost = false;                       ///< No answer to an order comes.
-    instant next_report;                            ///< When the engine is read again.
+    upstream_id upstream;                           ///< Upstream of the sidecar.
+    incarnation start;                              ///< Start number.
+    order_engine* engine;                           ///< Engine of the sidecar.
+    std::unique_ptr<sidecar_core> core;             ///< Core under test.
+    std::vector<sidecar_output::send_order> orders; ///< Sent orders.
+    bool order_lost = false;                        ///< Whether orders are lost on the way to the engine.
+    bool answer_lost = false;                       ///< Whether answers to orders are lost.
+    instant next_report;                            ///< Time of the next report of the engine.
 
 private:
     [[nodiscard]] auto options(instant now) const -> sidecar_core_options
@@ -145,7 +145,7 @@
     }
 };
 
-/// What the bundle of `version` declares: `models` at each of `replicas`.
+/// Returns the declaration of the bundle `version`: `models` at each of `replicas`.
 inline auto declared(std::uint64_t version, std::vector<model_id> models,
                      const std::vector<std::string>& replicas = {"e1"}) -> sidecar_input::declared_changed
 {
--- a/tests/serve/sidecar_core_fixture.h
+++ b/tests/serve/sidecar_core_fixture.h
@@ -5,14 +5,14 @@
 
 #include <vector>
 
-// Not the namespace of the gateway's fixture: both have an `options()`, and the linker would take one for
-// both.
+// A namespace of its own: the gateway's fixture also defines an `options()`, and the linker would merge the
+// two.
 namespace dragonflymill::sidecar_fixture {
 
-/// When the tests begin.
+/// Start time of the tests.
 inline constexpr instant start{1'000s};
 
-/// The sidecar that the tests run, before upstream `u1`.
+/// Returns the options of a sidecar of upstream `u1`.
 inline auto options() -> sidecar_core_options
 {
     sidecar_core_options made;
@@ -23,7 +23,7 @@
     return made;
 }
 
-/// The same before an engine whose work may rise from `floor` to `ceiling`.
+/// Returns the same options with a ramp from `floor` to `ceiling`.
 inline auto options(work_cost floor, work_cost ceiling) -> sidecar_core_options
 {
     auto made = options();
@@ -32,7 +32,7 @@
     return made;
 }
 
-/// The first action of a kind; null if there is none.
+/// Returns the first action of a type; null if there is none.
 template <typename Action>
 auto find(const std::vector<sidecar_action>& actions) -> const Action*
 {
--- a/tests/serve/sidecar_core_test.cpp
+++ b/tests/serve/sidecar_core_test.cpp
@@ -26,7 +26,7 @@
     return made;
 }
 
-/// A core with one stream at the engine, as call 1.
+/// Starts a stream at the engine as call 1 and returns its name there.
 auto begin_stream(sidecar_core& core) -> std::string
 {
     const auto granted = core.step(start, sidecar_input::attempt_opened{call_number(1), spec("r")});
@@ -37,13 +37,13 @@
     return stream->engine_request;
 }
 
-/// Feeds an event whose actions don't matter to the test.
+/// Applies an event and ignores the actions.
 void feed(sidecar_core& core, instant now, const sidecar_event& event)
 {
     static_cast<void>(core.step(now, event));
 }
 
-/// Ticks as a shell does; the first cancel that comes out, if any.
+/// Ticks every 100 ms and returns the engine request of the first cancel; empty if there is none.
 auto tick_until_cancel(sidecar_core& core, instant from, instant to) -> std::string
 {
     for (auto now = from; now <= to; now += 100ms) {
@@ -66,7 +66,7 @@
 
 } // namespace
 
-Test(sidecar_core, a_stream_goes_through_and_frees_its_permit)
+Test(sidecar_core, finished_stream_releases_its_permit)
 {
     sidecar_core core(start, engine_options());
     begin_stream(core);
@@ -77,10 +77,10 @@
     cr_assert(core.load(start + 20ms).outstanding == 0);
 }
 
-Test(sidecar_core, before_its_bundle_it_is_not_ready_and_calls_nothing_too_large)
+Test(sidecar_core, refuses_as_not_ready_before_the_first_bundle)
 {
-    // A request reaches a sidecar that has just started, before the bundle does. It was refused as too large,
-    // with no time to come back, though the upstream could well have held it.
+    // Guards against a refusal as too large, without a retry time, of a request that the upstream could hold:
+    // it arrives at a newly started sidecar before the bundle does.
     auto before_the_bundle = engine_options();
     before_the_bundle.gate.ramp = {};
     sidecar_core core(start, before_the_bundle);
@@ -93,7 +93,7 @@
     cr_assert(find<sidecar_output::grant_attempt>(later) != nullptr);
 }
 
-Test(sidecar_core, the_same_events_give_the_same_actions)
+Test(sidecar_core, same_events_give_same_actions)
 {
     sidecar_core one(start, engine_options());
     sidecar_core two(start, engine_options());
@@ -112,9 +112,8 @@
 
 FAULT_CELL(request_dispatch, paused_wakes_late)
 {
-    // A caller with a 10 s limit waits. The sidecar grants its permit and is paused for 11 s while the prompt
-    // is on its way. It wakes and finds the prompt. Had it sent it, the engine would work for nobody: the
-    // caller has its refusal already.
+    // Guards against engine work for a caller that has already been refused. The sidecar grants a permit to
+    // an attempt with 10 s left and is paused for 11 s while the prompt is on its way.
     sidecar_core core(start, engine_options());
     const auto granted = core.step(start, sidecar_input::attempt_opened{call_number(1), spec("r")});
     cr_assert(find<sidecar_output::grant_attempt>(granted) != nullptr);
@@ -125,13 +124,13 @@
 
 FAULT_CELL(request_cancel, message_lost)
 {
-    // A caller leaves; the engine goes on for nobody and its memory is gone for good. The gateway's cancel
-    // reaches the sidecar, whose own cancel to the engine is lost on the way.
+    // Guards against a stream that holds engine memory for good after its caller disconnected. The gateway's
+    // cancel reaches the sidecar, but the sidecar's cancel to the engine is lost.
     sidecar_core core(start, engine_options());
     const auto name = begin_stream(core);
     const auto first = core.step(start + 1s, sidecar_input::call_cancelled{call_number(1)});
     cr_assert(find<sidecar_output::cancel_stream>(first)->engine_request == name);
-    cr_assert(core.load(start + 1s).outstanding > 0, "the engine still holds it");
+    cr_assert(core.load(start + 1s).outstanding > 0, "the permit counts until the cancel is confirmed");
     const auto again = core.step(start + 2s, sidecar_input::tick{});
     cr_assert(find<sidecar_output::cancel_stream>(again)->engine_request == name);
     feed(core, start + 2s, sidecar_input::cancel_confirmed{name});
@@ -141,9 +140,8 @@
 
 FAULT_CELL(request_stream, process_dies)
 {
-    // A caller's gateway dies while the answer streams. Nobody cancels; the engine would hold the stream's
-    // memory until the answer's last token, and the permit with it. The gateway was last heard of after one
-    // second.
+    // Guards against a stream that keeps engine memory and its permit until the last token after its gateway
+    // died. The last heartbeat of the gateway is received after one second.
     sidecar_core core(start, engine_options());
     const auto name = begin_stream(core);
     feed(core, start + 1s, sidecar_input::gateway_heartbeat{process_id("g1")});
@@ -154,9 +152,9 @@
 
 FAULT_CELL_MORE(request_stream, message_lost, renewed_by_new_work)
 {
-    // A long answer is cut off although its gateway lives and puts new work to the same engine all the time.
-    // Order: the renewal is lost with its connection; another try of the gateway comes before the term ends.
-    // Cause: only heartbeats counted as a sign of life.
+    // Guards against cancelling a long answer although its gateway is alive and keeps sending work to the
+    // same engine. The renewal is lost with its connection, and another attempt of the gateway arrives before
+    // the term ends: it has to renew the permits as a heartbeat does.
     sidecar_core core(start, engine_options());
     begin_stream(core);
     const auto term = permit_controller_options{}.lease_term;
@@ -167,8 +165,8 @@
 
 FAULT_CELL(request_cancel, process_dies)
 {
-    // Memory at an engine shrinks from day to day. A sidecar dies in the middle of a stream and its successor
-    // starts with an empty table: only the engine knows of the stream.
+    // Guards against a memory leak at the engine. A sidecar dies during a stream, and its successor starts
+    // with an empty table: only the engine knows the stream.
     sidecar_core successor(start, engine_options());
     const auto found = successor.step(start, report({{"r.1", 1'000}}));
     cr_assert(find<sidecar_output::cancel_stream>(found)->engine_request == "r.1");
@@ -181,21 +179,20 @@
 
 FAULT_CELL(request_stream, upstream_cold)
 {
-    // A stream stops in the middle of the answer. The engine died and is up again within one report interval,
-    // so that its port answers and only its start number differs; the stream would wait until the caller's
-    // limit.
+    // Guards against a stream that stalls until the caller's deadline. The engine restarts within one report
+    // interval, so that only its start number shows the restart.
     sidecar_core core(start, engine_options());
     feed(core, start, report({}, 1));
     begin_stream(core);
     const auto lost = core.step(start + 1s, report({}, 2));
     cr_assert(find<sidecar_output::refuse_call>(lost)->why.code == refusal_code::upstream_gone);
-    cr_assert(core.load(start + 1s).outstanding == 0, "a new engine holds nothing");
+    cr_assert(core.load(start + 1s).outstanding == 0, "a restarted engine holds nothing");
 }
 
 FAULT_CELL(process_stop, message_late)
 {
-    // An upgrade stops a sidecar while a caller reads an answer. The stop comes first, the last token later:
-    // the sidecar refuses new work, keeps the stream, and ends only after its last token.
+    // Guards against a planned stop that cuts off an answer. The stop is requested before the last token: the
+    // sidecar refuses new work, keeps the stream, and finishes only after its end.
     sidecar_core core(start, engine_options());
     begin_stream(core);
     cr_assert(find<sidecar_output::all_done>(core.step(start + 1s, sidecar_input::stop_requested{})) ==
--- a/tests/serve/sidecar_service_test.cpp
+++ b/tests/serve/sidecar_service_test.cpp
@@ -22,13 +22,13 @@
 
 auto take_ticket(sidecar_core& core) -> std::string
 {
-    const auto given = core.step(start, sidecar_input::ticket_requested{call_number(1), booking({}, {})});
-    return find<sidecar_output::send_ticket>(given)->ticket;
+    const auto issued = core.step(start, sidecar_input::ticket_requested{call_number(1), booking({}, {})});
+    return find<sidecar_output::send_ticket>(issued)->ticket;
 }
 
 } // namespace
 
-Test(sidecar_service, another_body_under_a_used_ticket_is_a_conflict_that_never_ran)
+Test(sidecar_service, another_body_under_a_used_ticket_is_refused_as_conflict)
 {
     sidecar_core core(start, options());
     const auto ticket = take_ticket(core);
@@ -44,8 +44,8 @@
 
 FAULT_CELL_MORE(request_dispatch, message_late, ticket)
 {
-    // A caller's booking reaches the sidecar when its time is over. It is told "not run", and so a late copy
-    // of the same try must not run either.
+    // Guards against running a booking that was refused with ran `no`. It reaches the sidecar after its
+    // deadline, and a late copy of the same attempt follows.
     sidecar_core core(start, options());
     const auto ticket = take_ticket(core);
     const auto late = core.step(
@@ -58,25 +58,25 @@
 
 FAULT_CELL(ticket_status, message_lost)
 {
-    // A caller's booking runs and its answer is lost on the way. It asks for the status, by GET and without
-    // the booking's body. Told "another body, not run" it would book a second time; it must get the answer.
+    // Guards against a second booking after the answer to the first one was lost. The caller queries the
+    // status by GET without the booking's body; a conflict with ran `no` would make it book again.
     sidecar_core core(start, options());
     const auto ticket = take_ticket(core);
     const auto run = core.step(start, sidecar_input::service_called{call_number(2), booking(ticket, "two")});
     cr_assert(find<sidecar_output::run_service>(run) != nullptr);
-    auto question = booking(ticket, {});
-    question.method = "GET";
-    question.target = "/status";
-    const auto early = core.step(start, sidecar_input::status_requested{call_number(3), question});
+    auto query = booking(ticket, {});
+    query.method = "GET";
+    query.target = "/status";
+    const auto early = core.step(start, sidecar_input::status_requested{call_number(3), query});
     cr_assert(find<sidecar_output::report_running>(early) != nullptr);
     const once_answer answer{200, "text/plain", "van 7"};
     static_cast<void>(core.step(start, sidecar_input::service_answered{call_number(2), answer}));
-    const auto told = core.step(start, sidecar_input::status_requested{call_number(4), question});
-    cr_assert(find<sidecar_output::refuse_call>(told) == nullptr);
-    cr_assert(find<sidecar_output::answer_service>(told)->answer.body == "van 7");
+    const auto status = core.step(start, sidecar_input::status_requested{call_number(4), query});
+    cr_assert(find<sidecar_output::refuse_call>(status) == nullptr);
+    cr_assert(find<sidecar_output::answer_service>(status)->answer.body == "van 7");
 }
 
-Test(sidecar_service, not_run_is_said_only_of_what_never_will_run)
+Test(sidecar_service, ran_no_is_reported_only_for_calls_that_never_run)
 {
     cr_assert(refusal_before_sending(true).ran == ran_state::no);
     cr_assert(refusal_before_sending(false).ran == ran_state::unknown);
--- a/tests/serve/sidecar_warm_up_test.cpp
+++ b/tests/serve/sidecar_warm_up_test.cpp
@@ -42,11 +42,11 @@
         core.step(start, sidecar_input::capacity_changed{floor_cost, ceiling_cost, model_id("m")}));
 }
 
-/// The warm-up that a refused large request leads to.
+/// Returns the warm-up request that follows the refusal of a large request.
 auto first_warm_up(sidecar_core& core) -> sidecar_output::start_warm_up
 {
     set_capacity(core);
-    cr_assert(!ask_large(core, start, 1), "it is larger than the floor");
+    cr_assert(!ask_large(core, start, 1), "the prompt is larger than the floor");
     const auto actions = core.step(start + 20ms, sidecar_input::tick{});
     const auto* warm_up = find<sidecar_output::start_warm_up>(actions);
     cr_assert(warm_up != nullptr);
@@ -57,8 +57,8 @@
 
 FAULT_CELL_MORE(request_permit, upstream_cold, only_large)
 {
-    // A caller's prompt of 60,000 tokens is refused for ever by an engine that carries 100,000 when warm. It
-    // started cold and only large prompts come: none can be granted, so none can earn a step of the ramp.
+    // Guards against refusing prompts of 60,000 tokens for good at an engine that holds 100,000 when warm. It
+    // starts cold and only large prompts arrive: none can be granted, so no success raises the allowance.
     sidecar_core core(start, options());
     auto warm_up = first_warm_up(core);
     auto now = start + 20ms;
@@ -78,10 +78,10 @@
         }
         now += 60ms;
     }
-    cr_assert(granted, "the engine became warm enough");
+    cr_assert(granted, "the prompt is still refused after the warm-up");
 }
 
-Test(sidecar_warm_up, there_is_no_more_than_one_and_it_is_the_same_each_time)
+Test(sidecar_warm_up, at_most_one_runs_and_it_is_deterministic)
 {
     sidecar_core one(start, options());
     sidecar_core two(start, options());
@@ -94,21 +94,22 @@
         static_cast<void>(ask_large(one, now, static_cast<std::uint64_t>(now.time_since_epoch().count())));
         const auto actions = one.step(now, sidecar_input::tick{});
         cr_assert(find<sidecar_output::start_warm_up>(actions) == nullptr);
-        cr_assert(find<sidecar_output::cancel_stream>(actions) == nullptr, "it is renewed while it runs");
+        cr_assert(find<sidecar_output::cancel_stream>(actions) == nullptr,
+                  "the permit of a running warm-up has to be renewed");
     }
 }
 
 FAULT_CELL_MORE(request_permit, connection_silent, warm_up)
 {
-    // Large prompts are refused for ever. The engine took a warm-up request and never said a word: it has to
-    // be given up, and cancelled until the engine confirms, before there is another.
+    // Guards against refusing large prompts for good after the engine accepted a warm-up request and never
+    // answered. The warm-up has to time out and be cancelled before another one starts.
     sidecar_core core(start, options());
     const auto warm_up = first_warm_up(core);
     std::string cancelled;
     for (auto now = start + 40ms; now < start + 40s && cancelled.empty(); now += 20ms) {
         const auto actions = core.step(now, sidecar_input::tick{});
         cr_assert(find<sidecar_output::start_warm_up>(actions) == nullptr);
-        cr_assert(find<sidecar_output::refuse_call>(actions) == nullptr, "nobody waits for it");
+        cr_assert(find<sidecar_output::refuse_call>(actions) == nullptr, "a warm-up has no caller to refuse");
         if (const auto* cancel = find<sidecar_output::cancel_stream>(actions)) {
             cancelled = cancel->engine_request;
         }
@@ -116,12 +117,12 @@
     cr_assert(cancelled == warm_up.engine_request);
 }
 
-Test(sidecar_warm_up, a_drain_or_stop_ends_it_and_begins_none)
+Test(sidecar_warm_up, drain_and_stop_cancel_it_and_start_none)
 {
     sidecar_core drained(start, options());
     first_warm_up(drained);
-    const auto out = drained.step(start + 1s, sidecar_input::drain_changed{true});
-    cr_assert(find<sidecar_output::cancel_stream>(out) != nullptr);
+    const auto drain = drained.step(start + 1s, sidecar_input::drain_changed{true});
+    cr_assert(find<sidecar_output::cancel_stream>(drain) != nullptr);
     sidecar_core stopped(start, options());
     const auto warm_up = first_warm_up(stopped);
     const auto stop = stopped.step(start + 1s, sidecar_input::stop_requested{});
