--- a/include/dragonflymill/admission/cold_sign_counter.h
+++ b/include/dragonflymill/admission/cold_sign_counter.h
@@ -11,23 +11,23 @@
 /// Settings of a cold_sign_counter.
 struct cold_sign_options
 {
-    std::uint32_t fewest = 3;   ///< Cold first tokens, less warm ones since, that make a sign.
-    double share = 0.1;         ///< The same as a share of the warm ones of the last moment.
-    duration half_life = 500ms; ///< Time in which a warm first token counts half.
+    std::uint32_t min_cold_count = 3; ///< Minimum cold first tokens, less later warm ones, for a cold sign.
+    double share = 0.1;         ///< Minimum ratio of cold first tokens to the decayed count of warm ones.
+    duration half_life = 500ms; ///< Half-life of the count of warm first tokens.
 };
 
-/// Tells an upstream that has turned cold from the long tail of a healthy one: a few first tokens beyond the
-/// cold limit among many quick ones are no sign, a few with none between them are.
+/// Distinguishes an upstream that has turned cold from the tail latency of a healthy one: a few first tokens
+/// beyond the cold limit are a cold sign only if there are few fast ones among them.
 class cold_sign_counter
 {
 public:
-    /// Starts with nothing counted.
+    /// Creates a counter at zero.
     explicit cold_sign_counter(cold_sign_options options);
 
-    /// Counts a verdict; true when it completes a sign, and then all starts anew.
+    /// Counts a verdict. Returns true if it completes a cold sign, and then resets the counter.
     [[nodiscard]] auto count(instant now, first_token_verdict verdict) -> bool;
-    /// Forgets what was counted.
-    void forget();
+    /// Resets the counter to zero.
+    void reset();
 
 private:
     cold_sign_options options_;
--- a/include/dragonflymill/admission/load_step_detector.h
+++ b/include/dragonflymill/admission/load_step_detector.h
@@ -11,27 +11,27 @@
 /// Settings of a load_step_detector.
 struct load_step_options
 {
-    double multiple = 3.0;      ///< A queue this many times its usual length is a step.
-    work_cost smallest = 2'048; ///< Queues shorter than this are never a step.
-    duration longest_lag = 2s;  ///< Reports lag by no more than this; older ones are ignored.
-    double own_share = 0.5;     ///< A queue of less than this share of the own work is an ordinary one.
-    double own_growth = 1.2;    ///< Own work that grew by more than this explains a longer queue.
+    double multiple = 3.0;       ///< A queue beyond this multiple of its mean length is a step.
+    work_cost min_queue = 2'048; ///< Shorter queues are never a step.
+    duration max_lag = 2s;       ///< Maximum age of a report; older ones are ignored.
+    double own_share = 0.5;      ///< A queue below this share of the own work is normal.
+    double own_growth = 1.2;     ///< Growth of the own work beyond this factor explains a longer queue.
 };
 
-/// Tells from load reports that an upstream has turned cold: its queue steps up while the sidecar gave it no
-/// more work than before. Reports lag, so the own work compared is the highest over the lag.
+/// Detects from load reports that an upstream has turned cold: its queue grows by a step while the sidecar
+/// sent it no more work than before. Reports lag, so the peak of the own work over the lag is compared.
 class load_step_detector
 {
 public:
-    /// Starts with no reports seen.
+    /// Creates a detector without reports.
     explicit load_step_detector(load_step_options options);
 
-    /// The own outstanding work changed to `outstanding`.
-    void own_work(instant now, work_cost outstanding);
-    /// A report of `queued` work of `age`; true when it is a cold sign.
+    /// Records that the sidecar's outstanding work changed to `outstanding`.
+    void set_outstanding(instant now, work_cost outstanding);
+    /// Adds a report of `queued` work that is `age` old. Returns true if it is a cold sign.
     [[nodiscard]] auto report(instant now, work_cost queued, duration age) -> bool;
-    /// Forgets the reports, after a fall or a restart of the upstream.
-    void forget();
+    /// Drops the reports, after a reset of the ramp or a restart of the upstream.
+    void reset();
 
 private:
     static constexpr std::size_t slot_count = 16;
@@ -45,8 +45,8 @@
     std::array<work_cost, slot_count> peaks_{};
     std::int64_t newest_slot_ = 0;
     work_cost outstanding_ = 0;
-    bool seen_ = false;
-    double usual_ = 0;
+    bool has_reports_ = false;
+    double mean_queue_ = 0;
 };
 
 } // namespace dragonflymill
--- a/src/admission/cold_sign_counter.cpp
+++ b/src/admission/cold_sign_counter.cpp
@@ -22,14 +22,14 @@
         return false;
     }
     ++cold_;
-    const bool sign = cold_ >= options_.fewest && cold_ >= options_.share * warm_;
+    const bool sign = cold_ >= options_.min_cold_count && cold_ >= options_.share * warm_;
     if (sign) {
-        forget();
+        reset();
     }
     return sign;
 }
 
-void cold_sign_counter::forget()
+void cold_sign_counter::reset()
 {
     cold_ = 0;
     warm_ = 0;
--- a/src/admission/first_token_model.cpp
+++ b/src/admission/first_token_model.cpp
@@ -5,15 +5,15 @@
 namespace dragonflymill {
 namespace {
 
-/// Share of the old measurements' weight that each new one leaves: about the last 200 count.
+/// Factor on the weight of old measurements at each new one: about the last 200 count.
 constexpr double decay = 0.995;
-/// Weight of a measurement slower than the line against one that is faster.
+/// Weight of a measurement above the line relative to one below it.
 constexpr double slow_weight = 0.2;
-/// Below this share of the line a measurement is faster than noise would make it.
+/// Share of the line below which a measurement is faster than noise explains.
 constexpr double clearly_faster_share = 0.75;
-/// Weight of the expected line, as a number of measurements.
+/// Weight of the configured line, in measurements.
 constexpr double expected_weight = 32.0;
-/// Prompt length at the far end of the expected line.
+/// Prefill length of the second support point of the configured line.
 constexpr double expected_far_tokens = 32'768.0;
 
 auto us_of(duration value) -> double
@@ -34,7 +34,7 @@
     if (!options_.expected) {
         return;
     }
-    expected_holds_ = true;
+    uses_expected_line_ = true;
     line_ = *options_.expected;
     const double near_us = us_of(line_.base);
     const double far_us = near_us + line_.us_per_token * expected_far_tokens;
@@ -57,7 +57,7 @@
     const double mean_y = sums_.y / sums_.weight;
     const double variance = sums_.xx / sums_.weight - mean_x * mean_x;
     const double covariance = sums_.xy / sums_.weight - mean_x * mean_y;
-    // Prompts of one length give no slope: the line is then flat through their mean.
+    // Prompts of equal length give no slope: the line is then constant at their mean.
     const double slope = variance < 1.0 ? 0.0 : std::max(0.0, covariance / variance);
     const double base = std::max(0.0, mean_y - slope * mean_x);
     line_ = {duration(static_cast<duration::rep>(base)), slope};
@@ -83,7 +83,7 @@
                                                          : first_token_verdict::warm;
 }
 
-auto first_token_model::stretch(token_count prefill, duration elapsed) const -> double
+auto first_token_model::slowdown(token_count prefill, duration elapsed) const -> double
 {
     const double predicted = predicted_us(prefill);
     return !trusted() || predicted < 1.0 ? 1.0 : us_of(elapsed) / predicted;
@@ -105,10 +105,10 @@
         if (now - *cold_since_ < options_.relearn_after) {
             return;
         }
-        // The line is given up, and the ramp goes on without one until it is learned anew.
+        // The line is dropped, and the ramp continues without one until it is relearned.
         sums_ = {};
         samples_ = 0;
-        expected_holds_ = false;
+        uses_expected_line_ = false;
     }
     cold_since_.reset();
     const double predicted = predicted_us(prefill);
@@ -127,7 +127,7 @@
     refit();
 }
 
-void first_token_model::forget()
+void first_token_model::reset()
 {
     sums_ = {};
     line_ = {};
@@ -138,7 +138,7 @@
 
 auto first_token_model::trusted() const -> bool
 {
-    return expected_holds_ || samples_ >= options_.samples_needed;
+    return uses_expected_line_ || samples_ >= options_.samples_needed;
 }
 
 auto first_token_model::line() const -> first_token_line
--- a/src/admission/load_step_detector.cpp
+++ b/src/admission/load_step_detector.cpp
@@ -5,14 +5,14 @@
 namespace dragonflymill {
 namespace {
 
-/// Weight of a new report in the usual queue length.
+/// Weight of a new report in the moving average of the queue length.
 constexpr double report_weight = 0.1;
 
 } // namespace
 
 load_step_detector::load_step_detector(load_step_options options)
     : options_(options)
-    , slot_length_(std::max(duration(1), options.longest_lag * 2 / static_cast<duration::rep>(slot_count)))
+    , slot_length_(std::max(duration(1), options.max_lag * 2 / static_cast<duration::rep>(slot_count)))
 {
 }
 
@@ -31,7 +31,7 @@
     newest_slot_ = std::max(newest_slot_, slot);
 }
 
-void load_step_detector::own_work(instant now, work_cost outstanding)
+void load_step_detector::set_outstanding(instant now, work_cost outstanding)
 {
     advance(now);
     outstanding_ = outstanding;
@@ -51,25 +51,25 @@
 auto load_step_detector::report(instant now, work_cost queued, duration age) -> bool
 {
     advance(now);
-    if (age > options_.longest_lag) {
+    if (age > options_.max_lag) {
         return false;
     }
     const auto half = static_cast<std::int64_t>(slot_count / 2);
     const work_cost before = own_peak(newest_slot_ - 2 * half + 1, newest_slot_ - half);
-    const work_cost lately = own_peak(newest_slot_ - half + 1, newest_slot_);
-    const bool own_grew = static_cast<double>(lately) > static_cast<double>(before) * options_.own_growth;
+    const work_cost recent = own_peak(newest_slot_ - half + 1, newest_slot_);
+    const bool own_grew = static_cast<double>(recent) > static_cast<double>(before) * options_.own_growth;
     const double queue = static_cast<double>(queued);
-    const bool mostly_waiting = queue >= static_cast<double>(lately) * options_.own_share;
-    const bool step = seen_ && queued >= options_.smallest && queue > usual_ * options_.multiple;
-    usual_ = seen_ ? usual_ + (queue - usual_) * report_weight : queue;
-    seen_ = true;
+    const bool mostly_waiting = queue >= static_cast<double>(recent) * options_.own_share;
+    const bool step = has_reports_ && queued >= options_.min_queue && queue > mean_queue_ * options_.multiple;
+    mean_queue_ = has_reports_ ? mean_queue_ + (queue - mean_queue_) * report_weight : queue;
+    has_reports_ = true;
     return step && !own_grew && mostly_waiting;
 }
 
-void load_step_detector::forget()
+void load_step_detector::reset()
 {
-    seen_ = false;
-    usual_ = 0;
+    has_reports_ = false;
+    mean_queue_ = 0;
 }
 
 } // namespace dragonflymill
--- a/src/admission/permit_controller.cpp
+++ b/src/admission/permit_controller.cpp
@@ -9,9 +9,9 @@
 namespace dragonflymill {
 namespace {
 
-/// Refusals are counted over this time to spread the retries of all who were refused.
+/// Window over which refusals are counted to set the jitter of retry times.
 constexpr duration refusal_window = 1s;
-/// A warm-up request is wanted for this long after a request was refused for its size.
+/// Time after a refusal for size during which a warm-up request is sent.
 constexpr duration warm_up_interest = 10s;
 
 auto remedy_of(refusal_code code) -> const char*
@@ -43,7 +43,7 @@
 
 auto permit_controller::ask(instant now, const permit_request& request) -> permit_result
 {
-    DRAGONFLYMILL_ASSERT(request.cost > 0, "work has a cost");
+    DRAGONFLYMILL_ASSERT(request.cost > 0, "the cost of a permit request must be positive");
     advance(now);
     if (guard_holds(guard::drain) && draining_) {
         return refuse(now, request, refusal_code::draining);
@@ -54,17 +54,17 @@
     if (permits_.size() >= options_.max_permits) {
         return refuse(now, request, refusal_code::overloaded);
     }
-    // Guarded failure: 410 gateways that each send "just one" request to a cold upstream knock it over. They
-    // are counted here, at the one place that all of their work passes, and not at the gateways.
-    if (guard_holds(guard::cold_ramp) && request.cost > room_for(request.size_class)) {
-        const bool never_fits_now = request.cost > ramp_.allowed();
-        (never_fits_now ? last_size_refusal_ : last_room_refusal_) = now;
+    // Guarded failure: 410 gateways that each send one request to a cold upstream overload it. The limit is
+    // enforced here, where all of their work passes, and not at the gateways.
+    if (guard_holds(guard::cold_ramp) && request.cost > available_for(request.size_class)) {
+        const bool exceeds_allowance = request.cost > ramp_.allowed();
+        (exceeds_allowance ? last_size_refusal_ : last_capacity_refusal_) = now;
         const auto code = ramp_.warm() ? refusal_code::overloaded : refusal_code::upstream_cold;
         return refuse(now, request, code);
     }
     const permit granted = grant(now, request);
     DRAGONFLYMILL_ASSERT(!guard_holds(guard::cold_ramp) || outstanding_ <= ramp_.allowed(),
-                         "a grant stays under the ramp");
+                         "outstanding work must not exceed the allowance");
     return granted;
 }
 
@@ -73,7 +73,7 @@
     const lease_id lease(next_lease_++);
     outstanding_ += request.cost;
     outstanding_by_class_[index_of(request.size_class)] += request.cost;
-    load_step_.own_work(now, outstanding_);
+    load_step_.set_outstanding(now, outstanding_);
     entry held;
     held.request = request;
     held.granted = now;
@@ -112,7 +112,7 @@
 {
     advance(now);
     const auto found = permits_.find(lease);
-    if (found == permits_.end() || !found->second.began || found->second.answered) {
+    if (found == permits_.end() || !found->second.began || found->second.measured) {
         return;
     }
     measure(now, found->second);
@@ -120,35 +120,36 @@
 
 void permit_controller::measure(instant now, entry& held)
 {
-    held.answered = true;
+    held.measured = true;
     const duration elapsed = now - *held.began;
     const double leniency = options_.leniency[index_of(held.request.size_class)];
     const first_token_verdict verdict = model_.judge(held.request.prefill, elapsed, leniency);
     if (verdict != first_token_verdict::unjudged) {
-        held.stretch = model_.stretch(held.request.prefill, elapsed);
+        held.slowdown = model_.slowdown(held.request.prefill, elapsed);
     }
-    // An upstream that has been neither warm nor cold for long is at its new normal speed.
+    // An upstream without a cold sign for `relearn_after` has reached its normal speed, even below the
+    // ceiling.
     const bool settled = ramp_.warm() || now - ramp_.cold_since() >= model_.options().relearn_after;
     const auto which = settled ? first_token_learning::every : first_token_learning::faster_only;
     model_.learn(now, held.request.prefill, elapsed, which);
     if (verdict != first_token_verdict::cold) {
         credit(now, held);
     }
-    first_token_was(now, verdict);
+    count_first_token(now, verdict);
 }
 
-void permit_controller::first_token_was(instant now, first_token_verdict verdict)
+void permit_controller::count_first_token(instant now, first_token_verdict verdict)
 {
     if (cold_signs_.count(now, verdict)) {
-        turned_cold(now);
+        handle_cold_sign(now);
     }
 }
 
 void permit_controller::credit(instant now, const entry& held)
 {
-    const bool refused_beside = last_room_refusal_ && *last_room_refusal_ >= held.granted;
+    const bool refused_concurrently = last_capacity_refusal_ && *last_capacity_refusal_ >= held.granted;
     const work_cost peak = std::max(held.peak, outstanding_);
-    ramp_.succeeded(now, {held.epoch, held.request.cost, peak, refused_beside, held.stretch});
+    ramp_.succeeded(now, {held.epoch, held.request.cost, peak, refused_concurrently, held.slowdown});
 }
 
 void permit_controller::done(instant now, lease_id lease, work_outcome outcome)
@@ -159,42 +160,42 @@
         return;
     }
     entry& held = found->second;
-    if (outcome == work_outcome::success && held.began && !held.answered) {
+    if (outcome == work_outcome::success && held.began && !held.measured) {
         measure(now, held);
     }
     const bool overloaded = outcome == work_outcome::overloaded;
     remove(found);
     if (overloaded) {
-        turned_cold(now);
+        handle_cold_sign(now);
     }
 }
 
-void permit_controller::report(instant now, const upstream_report& word)
+void permit_controller::report(instant now, const upstream_report& status)
 {
     advance(now);
-    const bool restarted = upstream_start_ && *upstream_start_ != word.start;
-    upstream_start_ = word.start;
+    const bool restarted = upstream_start_ && *upstream_start_ != status.start;
+    upstream_start_ = status.start;
     if (restarted) {
-        // What the upstream held is gone with its former start, so nothing of it counts any more.
+        // A restarted upstream has lost its work, so all permits end.
         while (!permits_.empty()) {
             end(permits_.begin(), permit_end::upstream_started);
         }
-        turned_cold(now);
+        handle_cold_sign(now);
         return;
     }
-    const bool stepped = load_step_.report(now, word.queued_prefill, word.age);
-    if (word.cold || stepped) {
-        turned_cold(now);
+    const bool stepped = load_step_.report(now, status.queued_prefill, status.age);
+    if (status.cold || stepped) {
+        handle_cold_sign(now);
     }
 }
 
-void permit_controller::turned_cold(instant now)
+void permit_controller::handle_cold_sign(instant now)
 {
-    ramp_.fall(now);
-    load_step_.forget();
-    cold_signs_.forget();
+    ramp_.reset_to_floor(now);
+    load_step_.reset();
+    cold_signs_.reset();
     if (outstanding_ > ramp_.allowed()) {
-        end_unbegun(permit_end::turned_cold);
+        end_unused(permit_end::turned_cold);
     }
 }
 
@@ -209,10 +210,10 @@
         return;
     }
     if (draining_) {
-        end_unbegun(permit_end::drained);
+        end_unused(permit_end::drained);
     }
     else {
-        ramp_.fall(now);
+        ramp_.reset_to_floor(now);
     }
 }
 
@@ -225,8 +226,8 @@
 void permit_controller::upstream_changed(instant now)
 {
     advance(now);
-    model_.forget();
-    turned_cold(now);
+    model_.reset();
+    handle_cold_sign(now);
 }
 
 auto permit_controller::tick(instant now) -> std::vector<ended_permit>
@@ -238,8 +239,9 @@
 
 void permit_controller::advance(instant now)
 {
-    // Guarded failure: this process was paused, and the renewals that its holders sent meanwhile are still in
-    // its sockets. Ending every lease on wake-up would cut off healthy streams, so the pause doesn't count.
+    // Guarded failure: this process was paused, and the renewals sent meanwhile are still in its socket
+    // buffers. Expiring every lease at once would cancel healthy streams, so leases are extended by the
+    // pause.
     if (last_call_ && now - *last_call_ > options_.pause_threshold) {
         const duration gap = now - *last_call_;
         for (auto& [lease, held] : permits_) {
@@ -254,7 +256,7 @@
 
 void permit_controller::end_expired(instant now)
 {
-    // Guarded failure: a gateway dies with permits in hand and the upstream's capacity shrinks for good.
+    // Guarded failure: a gateway dies while it holds permits, and their capacity is lost for good.
     while (guard_holds(guard::lease_end) && !ends_.empty() && ends_.begin()->first <= now) {
         const auto found = permits_.find(ends_.begin()->second);
         if (!found->second.began) {
@@ -269,22 +271,22 @@
 
 void permit_controller::find_overdue(instant now)
 {
-    // Guarded failure: an upstream that turned cold answers nothing at all, so no slow first token is ever
-    // measured. The wait itself is the sign; each request gives it once.
+    // Guarded failure: an upstream that turned cold answers nothing at all, so no slow first token is
+    // measured. An overdue first token counts as a cold one, once for each request.
     std::uint32_t overdue = 0;
     for (auto& [lease, held] : permits_) {
-        if (!held.began || held.answered) {
+        if (!held.began || held.measured) {
             continue;
         }
         const double leniency = options_.leniency[index_of(held.request.size_class)];
         const auto limit = model_.overdue_after(held.request.prefill, leniency);
         if (limit && now - *held.began > *limit) {
-            held.answered = true;
+            held.measured = true;
             ++overdue;
         }
     }
     for (; overdue > 0; --overdue) {
-        first_token_was(now, first_token_verdict::cold);
+        count_first_token(now, first_token_verdict::cold);
     }
 }
 
@@ -301,7 +303,7 @@
     remove(held);
 }
 
-void permit_controller::end_unbegun(permit_end why)
+void permit_controller::end_unused(permit_end why)
 {
     for (auto next = permits_.begin(); next != permits_.end();) {
         const auto held = next++;
@@ -316,7 +318,7 @@
     const permit_request& request = held->second.request;
     outstanding_ -= request.cost;
     outstanding_by_class_[index_of(request.size_class)] -= request.cost;
-    DRAGONFLYMILL_ASSERT(outstanding_ >= 0, "what is given back was granted");
+    DRAGONFLYMILL_ASSERT(outstanding_ >= 0, "released cost must not exceed the granted cost");
     ends_.erase({held->second.until, held->first});
     permits_.erase(held);
 }
@@ -326,54 +328,55 @@
     return static_cast<work_cost>(options_.reserved[index_of(size_class)] * static_cast<double>(allowed));
 }
 
-auto permit_controller::room_for(length_class size_class) const -> work_cost
+auto permit_controller::available_for(length_class size_class) const -> work_cost
 {
-    work_cost room = ramp_.allowed() - outstanding_;
+    work_cost available = ramp_.allowed() - outstanding_;
     for (const length_class other : all_length_classes) {
         const work_cost unused =
             reserved_for(other, ramp_.allowed()) - outstanding_by_class_[index_of(other)];
-        room -= other == size_class ? 0 : std::max<work_cost>(0, unused);
+        available -= other == size_class ? 0 : std::max<work_cost>(0, unused);
     }
-    return room;
+    return available;
 }
 
 auto permit_controller::largest_cost(length_class size_class) const -> work_cost
 {
     const work_cost ceiling = ramp_.options().ceiling;
-    work_cost room = ceiling;
+    work_cost available = ceiling;
     for (const length_class other : all_length_classes) {
-        room -= other == size_class ? 0 : reserved_for(other, ceiling);
+        available -= other == size_class ? 0 : reserved_for(other, ceiling);
     }
-    return room;
+    return available;
 }
 
 auto permit_controller::refuse(instant now, const permit_request& request, refusal_code code) -> refusal
 {
-    // Nothing has left for the upstream and this answer carries no permit, so `no` is certain.
-    const bool hopeless = code == refusal_code::too_large;
-    const duration after = hopeless ? duration::zero() : retry_after(now, request.gateway);
+    // Nothing was sent to the upstream and a refusal carries no permit, so ran is certainly `no`.
+    const bool permanent = code == refusal_code::too_large;
+    const duration after = permanent ? duration::zero() : retry_after(now, request.gateway);
     return {code, ran_state::no, after, remedy_of(code)};
 }
 
 auto permit_controller::retry_after(instant now, const process_id& asker) -> duration
 {
     if (now - refusal_window_ >= refusal_window) {
-        const bool adjoining = now - refusal_window_ < 2 * refusal_window;
-        refusals_before_ = adjoining ? refusals_in_window_ : 0;
+        const bool consecutive = now - refusal_window_ < 2 * refusal_window;
+        refusals_before_ = consecutive ? refusals_in_window_ : 0;
         refusals_in_window_ = 0;
         refusal_window_ = now;
     }
     ++refusals_in_window_;
-    const auto askers = static_cast<duration::rep>(std::max(refusals_before_, refusals_in_window_));
-    const duration spread = std::min(options_.retry_per_asker * askers, options_.retry_spread_limit);
-    // Salted with the window: two askers whose hashes lie close don't meet again at every retry.
+    const auto refusals = static_cast<duration::rep>(std::max(refusals_before_, refusals_in_window_));
+    const duration spread =
+        std::min(options_.retry_spread_per_refusal * refusals, options_.retry_spread_limit);
+    // Salted with the window, so that two gateways with close hashes don't collide at every retry.
     const auto salt = seed_ + static_cast<std::uint64_t>(refusal_window_.time_since_epoch().count());
     const std::uint64_t hash = stable_hash(asker.text(), salt);
-    const auto places = static_cast<std::uint64_t>(std::max<duration::rep>(1, spread.count()));
-    return options_.retry_base + duration(static_cast<duration::rep>(hash % places));
+    const auto slots = static_cast<std::uint64_t>(std::max<duration::rep>(1, spread.count()));
+    return options_.retry_base + duration(static_cast<duration::rep>(hash % slots));
 }
 
-auto permit_controller::load() const -> gate_load
+auto permit_controller::load() const -> admission_load
 {
     return {outstanding_, ramp_.allowed(), ramp_.options().ceiling, permits_.size(), draining_};
 }
@@ -404,7 +407,7 @@
     if (!wanted || ramp_.warm() || outstanding_ > 0 || draining_) {
         return 0;
     }
-    return room_for(length_class::interactive);
+    return available_for(length_class::interactive);
 }
 
 } // namespace dragonflymill
--- a/tests/admission/cold_start_test.cpp
+++ b/tests/admission/cold_start_test.cpp
@@ -6,23 +6,23 @@
 
 FAULT_CELL(request_permit, upstream_cold)
 {
-    // A failure domain comes back and its upstreams are cold. Callers see refusals with a retry time instead
-    // of a domain that falls over again: 410 gateways ask for one cold upstream at the same moment, and once
-    // it is warm they have nearly all of it back within seconds.
+    // Guards against an upstream that is overloaded again when its failure domain returns to service cold:
+    // 410 gateways request permits for it at the same moment. They get refusals with a retry time, and nearly
+    // all of the capacity within seconds after the upstream is warm.
     const cold_rig_options options;
     const cold_rig_outcome outcome = cold_rig(options).run();
-    cr_assert(outcome.over_carried == 0, "%llu grants over what it carries",
+    cr_assert(outcome.over_carried == 0, "%llu grants above the capacity",
               static_cast<unsigned long long>(outcome.over_carried));
     cr_assert(outcome.ninety_percent);
     cr_assert(*outcome.ninety_percent > options.course.warming_ends);
     cr_assert(*outcome.ninety_percent < options.course.warming_ends + 8s);
-    cr_assert(outcome.most_asks_in_10ms < options.gateways / 8, "the refused come back together");
+    cr_assert(outcome.most_asks_in_10ms < options.gateways / 8, "refused gateways retry at the same time");
 }
 
 FAULT_CELL_MORE(request_permit, upstream_cold, warms_up_evenly)
 {
-    // The upstream's caches fill over twenty seconds. Callers get more of it the more it carries, never
-    // more than that: the first-token time tells how fast it is at each moment.
+    // Guards against exceeding the capacity of an upstream whose caches fill over twenty seconds. The
+    // first-token times show its speed, and the allowance follows it.
     cold_rig_options options;
     options.course.warming_begins = 5s;
     options.course.warming_ends = 25s;
@@ -34,19 +34,19 @@
 
 FAULT_CELL_MORE(request_permit, upstream_cold, cold_again_without_restart)
 {
-    // A warm upstream turns cold without a restart, under full load. Its first tokens stay away; the gate
-    // sees that within a second, gives nothing more, and is back once it is warm again.
+    // Guards against overload of a warm upstream that turns cold without a restart, under full load. Its
+    // first tokens are overdue; within a second no grant exceeds its capacity any more.
     cold_rig_options options;
     options.course.cold_again = 50s;
     const cold_rig_outcome outcome = cold_rig(options).run();
-    cr_assert(outcome.over_carried > 0, "what ran when it turned cold is over, or the test shows nothing");
+    cr_assert(outcome.over_carried > 0, "the test needs work in flight when the upstream turns cold");
     cr_assert(outcome.last_over < options.course.cold_again + 1s);
 }
 
 FAULT_CELL_MORE(request_permit, same_twice, cold_twice)
 {
-    // The upstream turns cold a second time while it is still coming back from the first. The second fall is
-    // as deep as the first: what was earned before it counts for nothing.
+    // Guards against evidence from before a cold sign. The upstream turns cold a second time while it
+    // recovers from the first; the allowance drops to the floor again.
     cold_rig_options options;
     options.course.cold_again = 22s;
     const cold_rig_outcome outcome = cold_rig(options).run();
--- a/tests/admission/cold_upstream_rig.h
+++ b/tests/admission/cold_upstream_rig.h
@@ -10,23 +10,23 @@
 
 namespace dragonflymill::test {
 
-/// An upstream fake for one run of the rig: what it carries over time, and how slow it is meanwhile.
+/// Simulated upstream of one run: its capacity and speed over time.
 struct upstream_course
 {
-    work_cost cold = 20'000;       ///< Work that it carries while cold.
-    work_cost warm = 400'000;      ///< Work that it carries when warm.
-    duration warming_begins = 20s; ///< Cold until then.
-    duration warming_ends = 20s;   ///< Warm from then on; in between what it carries grows evenly.
-    duration base = 30ms;          ///< Warm first-token time of an empty prompt.
-    double us_per_token = 20;      ///< Further warm time for each token of prefill.
-    duration decode = 400ms;       ///< Time from the first token to the end, when warm.
-    duration cold_again = 10'000s; ///< From then on it is cold again, without a restart ...
-    duration cold_again_for = 10s; ///< ... for so long, and then warm at once.
-    double noise = 0.1;            ///< Share by which times vary up and down.
+    work_cost cold = 20'000;       ///< Capacity while cold.
+    work_cost warm = 400'000;      ///< Capacity when warm.
+    duration warming_begins = 20s; ///< Time until which it is cold.
+    duration warming_ends = 20s;   ///< Time from which it is warm; capacity grows linearly in between.
+    duration base = 30ms;          ///< First-token time of an empty prompt when warm.
+    double us_per_token = 20;      ///< Additional first-token time per token of prefill when warm.
+    duration decode = 400ms;       ///< Time from the first token to the end when warm.
+    duration cold_again = 10'000s; ///< Time at which it turns cold again without a restart.
+    duration cold_again_for = 10s; ///< Length of that cold period; it is warm at once after it.
+    double noise = 0.1;            ///< Relative variation of times in both directions.
     double outliers = 0;           ///< Share of requests that take ten times as long.
 
-    /// What it carries at `now`.
-    [[nodiscard]] auto carries(instant now) const -> work_cost
+    /// Returns the capacity at `now`.
+    [[nodiscard]] auto capacity(instant now) const -> work_cost
     {
         const duration age = now.time_since_epoch();
         const bool again = age >= cold_again && age < cold_again + cold_again_for;
@@ -41,10 +41,10 @@
         return cold + static_cast<work_cost>(static_cast<double>(warm - cold) * share);
     }
 
-    /// How many times slower than warm it is at `now`.
-    [[nodiscard]] auto slowness(instant now) const -> double
+    /// Returns the slowdown against a warm upstream at `now`.
+    [[nodiscard]] auto slowdown(instant now) const -> double
     {
-        return static_cast<double>(warm) / static_cast<double>(carries(now));
+        return static_cast<double>(warm) / static_cast<double>(capacity(now));
     }
 };
 
@@ -52,34 +52,34 @@
 struct cold_rig_options
 {
     upstream_course course;         ///< The upstream.
-    std::uint32_t gateways = 410;   ///< Gateways, all asking from the first moment.
-    std::uint32_t asks_of_each = 1; ///< Requests that each has at a time.
+    std::uint32_t gateways = 410;   ///< Number of gateways, all active from the start.
+    std::uint32_t asks_of_each = 1; ///< Concurrent requests of each gateway.
     work_cost cost = 1'200;         ///< Cost of a request.
     token_count prefill = 1'000;    ///< Prefill of a request.
-    cold_sign_options cold_sign;    ///< How many slow first tokens are a cold sign.
-    bool expected_line = true;      ///< Whether the gate is told the warm first-token line.
-    double expected_error = 1.0;    ///< Factor by which the line that it is told is wrong.
+    cold_sign_options cold_sign;    ///< Settings of the cold sign.
+    bool expected_line = true;      ///< Whether the warm first-token line is configured.
+    double expected_error = 1.0;    ///< Error factor of the configured line.
     duration length = 120s;         ///< Length of the run.
     std::uint64_t seed = 1;         ///< Seed of the noise.
 };
 
-/// What a run shows.
+/// Result of a run.
 struct cold_rig_outcome
 {
-    std::uint64_t over_carried = 0;         ///< Grants after which more was outstanding than it carries.
-    work_cost most_over = 0;                ///< The most by which it was.
-    std::optional<duration> ninety_percent; ///< When 90 % of the warm work was first allowed.
-    duration last_over{0};                  ///< When the last such grant was.
-    std::uint64_t falls = 0;                ///< Falls of a gate that was open to 90 %.
+    std::uint64_t over_carried = 0;         ///< Grants that raised outstanding work above capacity.
+    work_cost most_over = 0;                ///< Maximum excess over the capacity.
+    std::optional<duration> ninety_percent; ///< Time when 90 % of the warm capacity was first allowed.
+    duration last_over{0};                  ///< Time of the last grant above capacity.
+    std::uint64_t falls = 0;                ///< Resets from at least 90 % of the warm capacity.
     std::uint64_t granted = 0;              ///< Permits granted.
-    std::uint64_t refused = 0;              ///< Asks refused.
-    std::uint64_t most_asks_in_10ms = 0;    ///< The most asks in 10 ms after the first second.
-    std::uint64_t trace = 0;                ///< Hash of every decision, to compare runs.
+    std::uint64_t refused = 0;              ///< Refused requests.
+    std::uint64_t most_asks_in_10ms = 0;    ///< Maximum requests in 10 ms after the first second.
+    std::uint64_t trace = 0;                ///< Hash of all decisions, to compare runs.
 
     friend auto operator==(const cold_rig_outcome&, const cold_rig_outcome&) -> bool = default;
 };
 
-/// Many gateways before one gate and one upstream fake, on a virtual clock.
+/// Simulates many gateways, one permit controller and one upstream on a virtual clock.
 class cold_rig
 {
 public:
@@ -90,13 +90,13 @@
     {
     }
 
-    /// Runs to the end.
+    /// Runs the simulation to its end.
     auto run() -> cold_rig_outcome
     {
         for (std::uint32_t i = 0; i < options_.gateways * options_.asks_of_each; ++i) {
-            events_.push({instant(), next_number_++, what::ask, lease_id(), i});
+            events_.push({instant(), next_number_++, event_kind::ask, lease_id(), i});
         }
-        events_.push({instant(), next_number_++, what::tick, lease_id(), 0});
+        events_.push({instant(), next_number_++, event_kind::tick, lease_id(), 0});
         while (!events_.empty() && events_.top().at < instant(options_.length)) {
             const event next = events_.top();
             events_.pop();
@@ -106,7 +106,7 @@
     }
 
 private:
-    enum class what
+    enum class event_kind
     {
         ask,
         first_token,
@@ -117,9 +117,9 @@
     {
         instant at;
         std::uint64_t number = 0;
-        what kind = what::ask;
+        event_kind kind = event_kind::ask;
         lease_id lease;
-        std::uint32_t asker = 0;
+        std::uint32_t gateway = 0;
 
         auto operator>(const event& other) const -> bool
         {
@@ -143,28 +143,29 @@
         return result;
     }
 
-    void later(instant at, what kind, lease_id lease, std::uint32_t asker)
+    void schedule(instant at, event_kind kind, lease_id lease, std::uint32_t gateway)
     {
-        events_.push({at, next_number_++, kind, lease, asker});
+        events_.push({at, next_number_++, kind, lease, gateway});
     }
 
     void handle(const event& next)
     {
         switch (next.kind) {
-        case what::ask:
+        case event_kind::ask:
             ask(next);
             break;
-        case what::first_token:
+        case event_kind::first_token:
             gate_.first_token(next.at, next.lease);
-            later(next.at + varied(next.at, options_.course.decode), what::end, next.lease, next.asker);
+            schedule(next.at + varied(next.at, options_.course.decode), event_kind::end, next.lease,
+                     next.gateway);
             break;
-        case what::end:
+        case event_kind::end:
             gate_.done(next.at, next.lease, work_outcome::success);
-            later(next.at, what::ask, lease_id(), next.asker);
+            schedule(next.at, event_kind::ask, lease_id(), next.gateway);
             break;
-        case what::tick:
+        case event_kind::tick:
             static_cast<void>(gate_.tick(next.at));
-            later(next.at + 100ms, what::tick, lease_id(), 0);
+            schedule(next.at + 100ms, event_kind::tick, lease_id(), 0);
             break;
         }
         const bool most = gate_.load().allowed * 10 >= options_.course.warm * 9;
@@ -177,20 +178,20 @@
 
     void ask(const event& next)
     {
-        count_ask(next.at);
-        const process_id asker("gateway-" + std::to_string(next.asker % options_.gateways));
+        count_request(next.at);
+        const process_id gateway("gateway-" + std::to_string(next.gateway % options_.gateways));
         const auto answer =
-            gate_.ask(next.at, {asker, length_class::interactive, options_.cost, options_.prefill});
+            gate_.ask(next.at, {gateway, length_class::interactive, options_.cost, options_.prefill});
         if (const auto* refused = std::get_if<refusal>(&answer)) {
             ++outcome_.refused;
-            note(static_cast<std::uint64_t>(refused->retry_after.count()));
-            later(next.at + refused->retry_after, what::ask, lease_id(), next.asker);
+            record(static_cast<std::uint64_t>(refused->retry_after.count()));
+            schedule(next.at + refused->retry_after, event_kind::ask, lease_id(), next.gateway);
             return;
         }
         const lease_id lease = std::get<permit>(answer).lease;
         ++outcome_.granted;
-        note(lease.value());
-        const work_cost over = gate_.load().outstanding - options_.course.carries(next.at);
+        record(lease.value());
+        const work_cost over = gate_.load().outstanding - options_.course.capacity(next.at);
         outcome_.over_carried += over > 0 ? 1 : 0;
         outcome_.most_over = std::max(outcome_.most_over, over);
         outcome_.last_over = over > 0 ? next.at.time_since_epoch() : outcome_.last_over;
@@ -198,7 +199,7 @@
             const double us = static_cast<double>(options_.course.base.count()) +
                               options_.course.us_per_token * static_cast<double>(options_.prefill);
             const duration warm_time(static_cast<duration::rep>(us));
-            later(next.at + varied(next.at, warm_time), what::first_token, lease, next.asker);
+            schedule(next.at + varied(next.at, warm_time), event_kind::first_token, lease, next.gateway);
         }
     }
 
@@ -207,21 +208,21 @@
         const double slow =
             options_.course.outliers > 0 && random_.chance(options_.course.outliers) ? 10.0 : 1.0;
         const double factor = slow * (1.0 + options_.course.noise * (2.0 * random_.unit() - 1.0));
-        const double us = static_cast<double>(warm_time.count()) * options_.course.slowness(now) * factor;
+        const double us = static_cast<double>(warm_time.count()) * options_.course.slowdown(now) * factor;
         return duration(static_cast<duration::rep>(us));
     }
 
-    void count_ask(instant now)
+    void count_request(instant now)
     {
         const auto slot = now.time_since_epoch() / duration(10ms);
-        asks_in_slot_ = slot == slot_ ? asks_in_slot_ + 1 : 1;
+        requests_in_slot_ = slot == slot_ ? requests_in_slot_ + 1 : 1;
         slot_ = slot;
         if (now.time_since_epoch() > 1s) {
-            outcome_.most_asks_in_10ms = std::max(outcome_.most_asks_in_10ms, asks_in_slot_);
+            outcome_.most_asks_in_10ms = std::max(outcome_.most_asks_in_10ms, requests_in_slot_);
         }
     }
 
-    void note(std::uint64_t value) { outcome_.trace = (outcome_.trace ^ value) * 0x100000001b3ULL; }
+    void record(std::uint64_t value) { outcome_.trace = (outcome_.trace ^ value) * 0x100000001b3ULL; }
 
     cold_rig_options options_;
     random_source random_;
@@ -229,7 +230,7 @@
     std::priority_queue<event, std::vector<event>, std::greater<>> events_;
     cold_rig_outcome outcome_;
     std::uint64_t next_number_ = 0;
-    std::uint64_t asks_in_slot_ = 0;
+    std::uint64_t requests_in_slot_ = 0;
     bool was_open_ = false;
     duration::rep slot_ = -1;
 };
--- a/tests/admission/permit_controller_fixture.h
+++ b/tests/admission/permit_controller_fixture.h
@@ -9,7 +9,7 @@
 
 namespace dragonflymill::test {
 
-/// Settings of the tests' gate: 1,000 when cold, 10,000 when warm, 30 ms to the first token of 1,000 tokens.
+/// Returns options with a floor of 1,000, a ceiling of 10,000 and 30 ms to the first token of 1,000 tokens.
 inline auto gate_options() -> permit_controller_options
 {
     permit_controller_options options;
@@ -25,7 +25,7 @@
     return {process_id(gateway), size_class, cost, cost};
 }
 
-/// The lease that an ask leads to, if it is granted.
+/// Requests a permit and returns its lease if it is granted.
 inline auto granted(permit_controller& gate, instant now, const permit_request& ask)
     -> std::optional<lease_id>
 {
@@ -34,15 +34,15 @@
     return held == nullptr ? std::nullopt : std::optional(held->lease);
 }
 
-/// The refusal that an ask leads to, if it is refused.
+/// Requests a permit and returns the refusal if it is refused.
 inline auto refused(permit_controller& gate, instant now, const permit_request& ask) -> std::optional<refusal>
 {
     const auto answer = gate.ask(now, ask);
-    const auto* said = std::get_if<refusal>(&answer);
-    return said == nullptr ? std::nullopt : std::optional(*said);
+    const auto* rejected = std::get_if<refusal>(&answer);
+    return rejected == nullptr ? std::nullopt : std::optional(*rejected);
 }
 
-/// Brings the gate to its ceiling by quick successes at full load; returns when that was.
+/// Raises the allowance to the ceiling by fast successes at full load; returns the time when it is reached.
 inline auto warm_up(permit_controller& gate, instant now) -> instant
 {
     constexpr duration quick = 20ms;
--- a/tests/admission/permit_controller_test.cpp
+++ b/tests/admission/permit_controller_test.cpp
@@ -5,7 +5,7 @@
 using namespace dragonflymill;
 using namespace dragonflymill::test;
 
-Test(permit_controller, a_grant_stays_under_the_floor_of_a_cold_upstream)
+Test(permit_controller, cold_upstream_gets_no_more_than_the_floor)
 {
     permit_controller gate(at(0s), gate_options());
     cr_assert(granted(gate, at(0s), ask_of("g1", 500)));
@@ -16,7 +16,7 @@
     cr_assert(second->retry_after > 0us);
 }
 
-Test(permit_controller, quick_successes_at_full_load_open_it_to_the_ceiling)
+Test(permit_controller, fast_successes_at_full_load_raise_the_allowance_to_the_ceiling)
 {
     permit_controller gate(at(0s), gate_options());
     const instant warm = warm_up(gate, at(0s));
@@ -24,7 +24,7 @@
     cr_assert(warm < at(3s));
 }
 
-Test(permit_controller, time_and_an_idle_upstream_open_nothing)
+Test(permit_controller, successes_at_low_load_do_not_raise_the_allowance)
 {
     permit_controller gate(at(0s), gate_options());
     for (duration t = 0s; t < 100s; t += 1s) {
@@ -36,7 +36,7 @@
     cr_assert(gate.load().allowed == 1'000);
 }
 
-Test(permit_controller, short_requests_find_room_beside_long_ones)
+Test(permit_controller, short_requests_keep_reserved_capacity)
 {
     permit_controller gate(at(0s), gate_options());
     const instant now = warm_up(gate, at(0s));
@@ -47,16 +47,16 @@
     cr_assert(gate.load().outstanding <= gate.load().allowed);
 }
 
-Test(permit_controller, what_never_fits_is_told_so)
+Test(permit_controller, refuses_as_too_large_what_never_fits)
 {
     permit_controller gate(at(0s), gate_options());
     cr_assert(gate.largest_cost(length_class::bulk) == 8'000);
-    const auto said = refused(gate, at(0s), ask_of("g", 8'001, length_class::bulk));
-    cr_assert(said->code == refusal_code::too_large);
-    cr_assert(said->retry_after == 0us);
+    const auto rejected = refused(gate, at(0s), ask_of("g", 8'001, length_class::bulk));
+    cr_assert(rejected->code == refusal_code::too_large);
+    cr_assert(rejected->retry_after == 0us);
 }
 
-Test(permit_controller, only_large_requests_call_for_a_warm_up_request)
+Test(permit_controller, warm_up_is_needed_when_only_large_requests_arrive)
 {
     permit_controller gate(at(0s), gate_options());
     cr_assert(gate.warm_up_cost(at(0s)) == 0);
@@ -67,7 +67,7 @@
     cr_assert(gate.warm_up_cost(at(1s)) == 0);
 }
 
-Test(permit_controller, at_its_bound_it_refuses)
+Test(permit_controller, refuses_beyond_max_permits)
 {
     permit_controller_options options = gate_options();
     options.max_permits = 2;
@@ -79,23 +79,23 @@
     cr_assert(third->ran == ran_state::no);
 }
 
-Test(permit_controller, the_refused_come_back_spread_out)
+Test(permit_controller, retry_times_are_spread)
 {
     permit_controller gate(at(0s), gate_options());
     cr_assert(granted(gate, at(0s), ask_of("g", 1'000 - 50)));
     std::array<int, 10> in_slot{};
-    constexpr int askers = 400;
-    for (int i = 0; i < askers; ++i) {
-        const auto said = refused(gate, at(0s), ask_of("gateway-" + std::to_string(i), 900));
-        cr_assert(said->retry_after < 3s);
-        ++in_slot[std::min<std::size_t>(9, static_cast<std::size_t>(said->retry_after / 300ms))];
+    constexpr int gateways = 400;
+    for (int i = 0; i < gateways; ++i) {
+        const auto rejected = refused(gate, at(0s), ask_of("gateway-" + std::to_string(i), 900));
+        cr_assert(rejected->retry_after < 3s);
+        ++in_slot[std::min<std::size_t>(9, static_cast<std::size_t>(rejected->retry_after / 300ms))];
     }
     for (const int count : in_slot) {
-        cr_assert(count < askers / 2);
+        cr_assert(count < gateways / 2);
     }
 }
 
-Test(permit_controller, over_allowance_names_long_and_new_work_first)
+Test(permit_controller, over_allowance_returns_long_and_new_work_first)
 {
     permit_controller gate(at(0s), gate_options());
     const instant now = warm_up(gate, at(0s));
@@ -108,7 +108,7 @@
     cr_assert(gate.over_allowance() == std::vector<lease_id>{*bulk});
 }
 
-Test(permit_controller, a_slow_answer_among_quick_ones_is_no_cold_sign_and_three_are)
+Test(permit_controller, three_slow_first_tokens_in_a_row_are_a_cold_sign)
 {
     permit_controller gate(at(0s), gate_options());
     instant now = warm_up(gate, at(0s));
@@ -130,7 +130,7 @@
     cr_assert(!gate.ramp().warm());
 }
 
-Test(first_token_model, line_is_learned_from_a_warm_upstream_and_judges)
+Test(first_token_model, learns_the_line_from_a_warm_upstream_and_classifies)
 {
     first_token_model model({});
     cr_assert(model.judge(1'000, 10s) == first_token_verdict::unjudged);
@@ -144,7 +144,7 @@
     cr_assert(model.judge(1'000, 400ms) == first_token_verdict::cold);
 }
 
-Test(first_token_model, a_warming_upstream_does_not_move_the_line_up)
+Test(first_token_model, warming_upstream_does_not_raise_the_line)
 {
     first_token_model model({.expected = first_token_line{10ms, 20.0}});
     const first_token_line before = model.line();
@@ -154,7 +154,7 @@
     cr_assert(model.line() == before);
 }
 
-Test(first_token_model, slower_for_good_becomes_the_new_normal)
+Test(first_token_model, relearns_the_line_of_a_permanently_slower_upstream)
 {
     first_token_model model({.expected = first_token_line{10ms, 20.0}});
     for (duration t = 0s; t <= 200s; t += 1s) {
@@ -163,18 +163,18 @@
     cr_assert(model.judge(1'000, 900ms) == first_token_verdict::warm);
 }
 
-Test(cold_start_ramp, evidence_of_an_earlier_epoch_counts_for_nothing)
+Test(cold_start_ramp, ignores_evidence_of_an_earlier_epoch)
 {
     cold_start_ramp ramp(at(0s), {.floor = 10, .ceiling = 100});
     const std::uint64_t old = ramp.epoch();
-    ramp.fall(at(1s));
+    ramp.reset_to_floor(at(1s));
     ramp.succeeded(at(2s), {old, 10, 10, false, 1.0});
     cr_assert(ramp.allowed() == 10);
     ramp.succeeded(at(2s), {ramp.epoch(), 10, 10, false, 1.0});
     cr_assert(ramp.allowed() == 15);
 }
 
-Test(cold_start_ramp, a_slow_upstream_opens_only_as_far_as_it_is_fast)
+Test(cold_start_ramp, slow_upstream_limits_the_allowance)
 {
     cold_start_ramp ramp(at(0s), {.floor = 10, .ceiling = 100});
     for (int i = 1; i < 100; ++i) {
@@ -183,7 +183,7 @@
     cr_assert(ramp.allowed() == 50);
 }
 
-Test(cold_start_ramp, large_requests_that_leave_a_gap_still_open_it)
+Test(cold_start_ramp, fragmented_load_raises_the_allowance)
 {
     cold_start_ramp ramp(at(0s), {.floor = 100, .ceiling = 1'000});
     ramp.succeeded(at(1s), {ramp.epoch(), 60, 60, false, 1.0});
@@ -192,12 +192,12 @@
     cr_assert(ramp.allowed() == 150);
 }
 
-Test(load_step_detector, a_queue_that_own_work_explains_is_no_sign)
+Test(load_step_detector, queue_explained_by_own_work_is_no_cold_sign)
 {
     load_step_detector detector({});
-    detector.own_work(at(0s), 10'000);
+    detector.set_outstanding(at(0s), 10'000);
     cr_assert(!detector.report(at(5s), 2'000, 100ms));
-    detector.own_work(at(6s), 40'000);
+    detector.set_outstanding(at(6s), 40'000);
     cr_assert(!detector.report(at(6s), 20'000, 100ms));
-    cr_assert(!detector.report(at(7s), 90'000, 3s), "too old to tell anything");
+    cr_assert(!detector.report(at(7s), 90'000, 3s), "the report is older than the maximum lag");
 }
--- a/tests/admission/permit_faults_test.cpp
+++ b/tests/admission/permit_faults_test.cpp
@@ -12,12 +12,12 @@
 
 FAULT_CELL(request_permit, process_dies)
 {
-    // A gateway dies between getting a permit and using it. Without an end to the permit the upstream would
-    // refuse everyone else for good; its lease ends, and the capacity is there again.
+    // Guards against capacity that is lost for good when a gateway dies between the grant and the use of a
+    // permit. The permit expires and its capacity is free again.
     permit_controller gate(at(0s), gate_options());
     const auto lease = granted(gate, at(0s), ask_of("dead", whole_floor));
     cr_assert(refused(gate, at(1s), ask_of("g", whole_floor)));
-    cr_assert(granted(gate, at(4s), ask_of("g", whole_floor)), "the dead gateway's permit still counts");
+    cr_assert(granted(gate, at(4s), ask_of("g", whole_floor)), "the dead gateway's permit has not expired");
     const auto ended = gate.tick(at(4s));
     cr_assert(ended.size() == 1);
     cr_assert(ended[0] == (ended_permit{*lease, process_id("dead"), permit_end::never_used, false}));
@@ -25,15 +25,15 @@
 
 FAULT_CELL_MORE(request_permit, process_dies, while_its_stream_runs)
 {
-    // A gateway dies while its stream runs. The upstream still works on it, so the cost counts until the
-    // cancel is confirmed: giving it away at once would put twice the work on the upstream.
+    // Guards against double load on the upstream. A gateway dies while its stream runs; the upstream still
+    // works on it, so its cost counts until the cancel is confirmed.
     permit_controller gate(at(0s), gate_options());
     const auto lease = granted(gate, at(0s), ask_of("dead", whole_floor));
     cr_assert(gate.begin(at(0s), *lease));
     gate.first_token(at(20ms), *lease);
     const auto ended = gate.tick(at(500ms)).size() + gate.tick(at(1'400ms)).size() +
                        gate.tick(at(2'300ms)).size() + gate.tick(at(3'200ms)).size();
-    cr_assert(ended == 1, "the holder's end has to be handed out once, to be cancelled");
+    cr_assert(ended == 1, "the expired permit has to be returned once, to be cancelled");
     cr_assert(refused(gate, at(3'300ms), ask_of("g", whole_floor)));
     gate.done(at(3'400ms), *lease, work_outcome::cancelled);
     cr_assert(granted(gate, at(3'500ms), ask_of("g", whole_floor)));
@@ -41,21 +41,21 @@
 
 FAULT_CELL(request_permit, paused_wakes_late)
 {
-    // A gateway is paused for a minute with a permit in hand, and others got its capacity meanwhile. When it
-    // wakes and wants to send, the permit is over.
+    // Guards against double load on the upstream. A gateway is paused for a minute while it holds a permit,
+    // whose capacity goes to others meanwhile. When it resumes, the permit has expired.
     permit_controller gate(at(0s), gate_options());
     const auto old = granted(gate, at(0s), ask_of("paused", whole_floor));
     for (duration t = 500ms; t < 60s; t += 500ms) {
         static_cast<void>(gate.tick(at(t)));
     }
-    cr_assert(!gate.begin(at(60s), *old), "the old permit would double the load");
+    cr_assert(!gate.begin(at(60s), *old), "an expired permit was accepted");
     cr_assert(!gate.renew(at(60s), *old));
 }
 
 FAULT_CELL_MORE(request_permit, paused_wakes_late, the_sidecar_itself)
 {
-    // The sidecar is paused for ten seconds while streams run well; their renewals wait in its sockets.
-    // When it wakes, callers' streams go on, instead of all being cut off as not renewed.
+    // Guards against cancelling healthy streams after the sidecar was paused for ten seconds: their renewals
+    // are still in its socket buffers.
     permit_controller gate(at(0s), gate_options());
     const auto lease = granted(gate, at(0s), ask_of("g", whole_floor));
     cr_assert(gate.begin(at(0s), *lease));
@@ -67,8 +67,8 @@
 
 FAULT_CELL(request_permit, message_lost)
 {
-    // The grant is lost on the way to its gateway, which asks again. The first permit is never used and ends
-    // by itself; meanwhile less is granted, never more.
+    // Guards against a lost grant, after which the gateway requests again. The first permit is never used and
+    // expires; until then its cost still counts.
     permit_controller gate(at(0s), gate_options());
     cr_assert(granted(gate, at(0s), ask_of("g", 600)));
     cr_assert(refused(gate, at(10ms), ask_of("g", 600)));
@@ -78,8 +78,7 @@
 
 FAULT_CELL(request_permit, message_late)
 {
-    // A renewal arrives after the permit has ended and its capacity went to another. It must not bring the
-    // permit back to life.
+    // Guards against a late renewal that revives an expired permit, whose capacity was granted to another.
     permit_controller gate(at(0s), gate_options());
     const auto old = granted(gate, at(0s), ask_of("late", whole_floor));
     static_cast<void>(gate.tick(at(900ms)));
@@ -92,8 +91,8 @@
 
 FAULT_CELL(request_permit, message_doubled)
 {
-    // The end of a request is told twice. Its cost comes back once: twice would let more in than the
-    // upstream carries.
+    // Guards against a duplicated end of a request that frees its cost twice, so that grants exceed the
+    // capacity.
     permit_controller gate(at(0s), gate_options());
     const auto first = granted(gate, at(0s), ask_of("g", 400));
     cr_assert(granted(gate, at(0s), ask_of("g", 400)));
@@ -104,14 +103,14 @@
 
 FAULT_CELL(request_permit, message_reordered)
 {
-    // The first token's note overtakes nothing and the end overtakes the first token: the late note is about
-    // a permit that is gone and changes nothing.
+    // Guards against reordered messages: a first token before the start of the work, and one that arrives
+    // after the end of the request. The late one concerns a released permit and changes nothing.
     permit_controller gate(at(0s), gate_options());
     const auto lease = granted(gate, at(0s), ask_of("g", 400));
     gate.first_token(at(1ms), *lease);
     cr_assert(gate.begin(at(2ms), *lease));
     gate.done(at(20ms), *lease, work_outcome::failed);
-    const gate_load before = gate.load();
+    const admission_load before = gate.load();
     gate.first_token(at(9s), *lease);
     cr_assert(!gate.begin(at(9s), *lease));
     cr_assert(gate.load() == before);
@@ -119,8 +118,9 @@
 
 FAULT_CELL(request_permit, connection_silent)
 {
-    // The connection to a gateway goes silent while its stream runs: no renewal, no end. The lease ends, the
-    // sidecar is told to cancel, and the capacity is free once the engine confirms.
+    // Guards against a stream that keeps its capacity after the connection to its gateway went silent:
+    // neither a renewal nor an end arrives. The lease expires and the ended permit is returned once, to be
+    // cancelled.
     permit_controller gate(at(0s), gate_options());
     const auto lease = granted(gate, at(0s), ask_of("silent", whole_floor));
     cr_assert(gate.begin(at(0s), *lease));
@@ -131,13 +131,13 @@
     }
     cr_assert(ended.size() == 1);
     cr_assert(ended[0].why == permit_end::not_renewed && ended[0].begun);
-    cr_assert(!gate.renew(at(4s), *lease), "its cancel is on the way");
+    cr_assert(!gate.renew(at(4s), *lease), "a permit whose work is being cancelled was renewed");
 }
 
 FAULT_CELL(request_permit, partition)
 {
-    // Half of the gateways are cut off with permits in hand. The others get all of the capacity after one
-    // lease term, not before.
+    // Guards against capacity that is lost with partitioned gateways, or granted twice. The others get all of
+    // it after one lease term, not before.
     permit_controller gate(at(0s), gate_options());
     cr_assert(granted(gate, at(0s), ask_of("cut-off-1", 450)));
     cr_assert(granted(gate, at(0s), ask_of("cut-off-2", 450)));
@@ -149,8 +149,8 @@
 
 FAULT_CELL(request_permit, partition_one_way)
 {
-    // A gateway hears the sidecar but its own words get lost: it believes that its permit runs on. The
-    // sidecar alone decides, and refuses the use of what has ended.
+    // Guards against the use of an expired permit. A gateway receives from the sidecar but its renewals are
+    // lost, so it assumes that its permit is valid; the sidecar refuses the use.
     permit_controller gate(at(0s), gate_options());
     const auto lease = granted(gate, at(0s), ask_of("unheard", 450));
     static_cast<void>(gate.tick(at(1s)));
@@ -162,21 +162,22 @@
 
 FAULT_CELL(request_permit, domain_out)
 {
-    // Operators take the failure domain out while 410 gateways have not heard of it. Each ask is refused
-    // with `no`, and it is true.
+    // Guards against new work in a drained failure domain. Operators drain it and 410 gateways don't know it
+    // yet: each request is refused with ran `no`.
     permit_controller gate(at(0s), gate_options());
     gate.set_draining(at(1s), true);
     for (int i = 0; i < 410; ++i) {
-        const auto said = refused(gate, at(2s), ask_of("gateway-" + std::to_string(i), 1));
-        cr_assert(said, "new work went to a domain that is out");
-        cr_assert(said->code == refusal_code::draining && said->ran == ran_state::no);
+        const auto rejected = refused(gate, at(2s), ask_of("gateway-" + std::to_string(i), 1));
+        cr_assert(rejected, "new work was granted in a drained domain");
+        cr_assert(rejected->code == refusal_code::draining && rejected->ran == ran_state::no);
     }
 }
 
 FAULT_CELL(request_permit, two_faults)
 {
-    // The engine restarts cold, and the gateway that held most of it dies at the same time. What the old
-    // start held is gone with it: the floor is free at once, and no more than the floor.
+    // Guards against capacity that stays taken when the engine restarts cold and the gateway that held most
+    // of it dies at the same time. The restart ends all permits: the floor is free at once, and no more than
+    // the floor.
     permit_controller gate(at(0s), gate_options());
     gate.report(at(0s), {incarnation(1), false, 0, 0us});
     const instant now = warm_up(gate, at(0s));
@@ -193,7 +194,8 @@
 
 FAULT_CELL(request_permit, same_twice)
 {
-    // The engine restarts twice within a second; the second report of the new start is no third restart.
+    // Guards against a repeated report of a new start being taken for another restart. The engine restarts
+    // twice within a second.
     permit_controller gate(at(0s), gate_options());
     gate.report(at(0s), {incarnation(1), false, 0, 0us});
     gate.report(at(1s), {incarnation(2), false, 0, 0us});
@@ -206,8 +208,8 @@
 
 FAULT_CELL(request_dispatch, upstream_cold)
 {
-    // The upstream turns cold between grant and use: a load report steps up with no more work from us. What
-    // has not begun is taken back, so that it doesn't fall over under what was promised while it was warm.
+    // Guards against overload by permits granted while the upstream was warm. It turns cold between grant and
+    // use: its queue grows by a step without more work from this sidecar. Unused permits are revoked.
     permit_controller gate(at(0s), gate_options());
     instant now = warm_up(gate, at(0s));
     const auto running = granted(gate, now, ask_of("g", 3'000));
@@ -216,17 +218,18 @@
     now += 5s;
     cr_assert(gate.renew(now, *running));
     gate.report(now, {incarnation(1), false, 500, 100ms});
-    const auto promised = granted(gate, now, ask_of("g", 400));
+    const auto unused = granted(gate, now, ask_of("g", 400));
     gate.report(now + 100ms, {incarnation(1), false, 3'000, 100ms});
-    cr_assert(gate.load().allowed == 1'000, "the step in its queue is a cold sign");
-    cr_assert(!gate.begin(now + 200ms, *promised));
-    cr_assert(refused(gate, now + 200ms, ask_of("g", 100)), "nothing new until it is below the floor");
+    cr_assert(gate.load().allowed == 1'000, "the step of the queue is a cold sign");
+    cr_assert(!gate.begin(now + 200ms, *unused));
+    cr_assert(refused(gate, now + 200ms, ask_of("g", 100)),
+              "nothing is granted until outstanding work is below the floor");
 }
 
 FAULT_CELL_MORE(request_dispatch, upstream_cold, answers_nothing)
 {
-    // A cold upstream takes requests and answers nothing. No first token is ever measured; the wait itself
-    // closes the gate.
+    // Guards against a cold upstream that accepts requests and answers none, so that no first token is
+    // measured. The overdue first tokens count as a cold sign.
     permit_controller gate(at(0s), gate_options());
     const instant now = warm_up(gate, at(0s));
     for (int i = 0; i < 3; ++i) {
@@ -241,8 +244,8 @@
 
 FAULT_CELL(request_dispatch, paused_wakes_late)
 {
-    // The sidecar is paused between granting a permit and sending the request. When it wakes the permit has
-    // ended and must not be used: the request is refused with a true `no`.
+    // Guards against the use of a permit that expired while the sidecar was paused between the grant and the
+    // first byte of the request.
     permit_controller gate(at(0s), gate_options());
     const auto lease = granted(gate, at(0s), ask_of("g", 500));
     cr_assert(!gate.begin(at(30s), *lease));
@@ -251,7 +254,7 @@
 
 FAULT_CELL(request_dispatch, message_doubled)
 {
-    // The order to begin comes twice, as after a reconnect. Only the first one may send.
+    // Guards against sending a request twice: a duplicated start, as after a reconnect, is refused.
     permit_controller gate(at(0s), gate_options());
     const auto lease = granted(gate, at(0s), ask_of("g", 500));
     cr_assert(gate.begin(at(1ms), *lease));
@@ -260,7 +263,7 @@
 
 FAULT_CELL(request_dispatch, domain_out)
 {
-    // The domain is taken out between grant and first byte: the permit must not be used any more.
+    // Guards against work that starts in a domain that was drained between the grant and the first byte.
     permit_controller gate(at(0s), gate_options());
     const auto lease = granted(gate, at(0s), ask_of("g", 500));
     gate.set_draining(at(1s), true);
@@ -269,8 +272,8 @@
 
 FAULT_CELL(drain_leave, same_twice)
 {
-    // The word that takes the domain out arrives by bundle and by gossip. Running work goes on to its end
-    // both times, and what had not begun is handed back once.
+    // Guards against a drain that is applied twice, by bundle and by gossip. Running work continues, and an
+    // unused permit is returned once.
     permit_controller gate(at(0s), gate_options());
     const auto running = granted(gate, at(0s), ask_of("g", 300));
     cr_assert(gate.begin(at(0s), *running));
@@ -278,12 +281,13 @@
     gate.set_draining(at(1s), true);
     gate.set_draining(at(1'100ms), true);
     cr_assert(gate.tick(at(1'200ms)).size() == 1);
-    cr_assert(gate.renew(at(2s), *running), "a drain cuts off no running work");
+    cr_assert(gate.renew(at(2s), *running), "a drain must not end running work");
 }
 
 FAULT_CELL(drain_return, upstream_cold)
 {
-    // The domain comes back after an hour and its caches are cold. Work returns by the ramp, not all at once.
+    // Guards against full load on cold caches when a domain returns to service after an hour: the ramp
+    // restarts at the floor.
     permit_controller gate(at(0s), gate_options());
     const instant now = warm_up(gate, at(0s));
     gate.set_draining(now, true);
