--- a/include/dragonflymill/lease/lease_table.h
+++ b/include/dragonflymill/lease/lease_table.h
@@ -20,144 +20,143 @@
 /// Settings of a lease_table.
 struct lease_table_options
 {
-    duration term = 5s;               ///< Time after which a lease that was not renewed ends.
-    duration adopt_grace = 10s;       ///< Time for an owner to claim what a successor finds at the engine.
-    duration pause_threshold = 1s;    ///< A gap between two calls that tells this process was paused.
-    duration first_retry = 200ms;     ///< Wait after the first cancel.
-    duration longest_retry = 5s;      ///< Longest wait between two cancels.
-    std::size_t max_holdings = 8'192; ///< Holdings with an owner or a pending cancel; more are refused.
-    std::size_t max_adopted = 8'192;  ///< Further holdings taken over from the engine's inventory.
-    std::size_t max_cancels = 64;     ///< Cancels handed out by one tick.
+    duration term = 5s;               ///< Time after which a lease expires unless it is renewed.
+    duration adopt_grace = 10s;       ///< Time for owners to claim holdings found at the engine.
+    duration pause_threshold = 1s;    ///< A longer gap between two calls counts as a pause of this process.
+    duration initial_retry = 200ms;   ///< Delay after the first cancel.
+    duration max_retry = 5s;          ///< Maximum delay between two cancels.
+    std::size_t max_holdings = 8'192; ///< Maximum holdings, with pending cancels; more are refused.
+    std::size_t max_adopted = 8'192;  ///< Maximum further holdings adopted from the engine's inventory.
+    std::size_t max_cancels = 64;     ///< Maximum cancels returned by one tick.
 };
 
-/// What kind of thing an engine holds.
+/// Kind of a holding.
 enum class holding_kind
 {
-    stream,        ///< A running completion.
-    kv_pin,        ///< KV cache kept for a later turn.
-    exported_span, ///< A span of KV cache exported for another engine.
-    gang_share,    ///< A share of a prompt that several engines hold together.
+    stream,        ///< Running completion.
+    kv_pin,        ///< KV cache retained for a later turn.
+    exported_span, ///< Span of KV cache exported to another engine.
+    gang_share,    ///< Share of a prompt that is split over several engines.
 };
 
-/// Name of one thing that an engine holds. The engine's inventory tells only streams from KV cache, so the
-/// kind is not part of what tells two holdings apart.
+/// Name of a holding at an engine. The engine's inventory distinguishes only streams and KV cache, so the
+/// kind is not part of the name.
 struct holding_name
 {
-    bool kv = false; ///< Whether it is KV cache (freed by release) or a stream (freed by cancel).
-    std::string id;  ///< The engine's name for it: a request or a span.
+    bool kv = false; ///< True for KV cache (freed by release), false for a stream (freed by cancel).
+    std::string id;  ///< Name at the engine: of a request or a span.
 
     // NOLINTNEXTLINE(modernize-use-nullptr): the linter takes the zero of a rewritten a < b for a pointer
     friend auto operator<=>(const holding_name&, const holding_name&) -> std::strong_ordering = default;
 };
 
-/// One thing at the engine, as its owner declares it or the engine lists it.
+/// A stream or KV cache entry at the engine, as declared by its owner or listed by the engine.
 struct holding
 {
-    holding_name name;                        ///< Its name.
-    holding_kind kind = holding_kind::stream; ///< Its kind.
-    token_count size = 0;                     ///< Tokens of the engine's memory.
+    holding_name name;                        ///< Name at the engine.
+    holding_kind kind = holding_kind::stream; ///< Kind of the holding.
+    token_count size = 0;                     ///< Memory at the engine in tokens.
 
     friend auto operator==(const holding&, const holding&) -> bool = default;
 };
 
-/// A lease on one holding.
+/// Lease on a holding.
 struct holding_lease
 {
-    lease_id lease; ///< Names it in later calls.
-    instant until;  ///< When it ends unless it is renewed.
+    lease_id lease; ///< Identifies the lease in later calls.
+    instant until;  ///< Time of expiry unless renewed.
 
     friend auto operator==(const holding_lease&, const holding_lease&) -> bool = default;
 };
 
-/// Why a lease ended.
+/// Reason why a lease ended.
 enum class lease_end
 {
-    not_renewed,    ///< Its owner did not renew it.
-    owner_gone,     ///< Its owner is known to be gone.
-    not_claimed,    ///< Found at the engine, and nobody claimed it.
-    engine_started, ///< The engine started anew and holds nothing of it.
+    not_renewed,    ///< The owner did not renew it.
+    owner_gone,     ///< The owner is known to be dead.
+    not_claimed,    ///< No owner claimed a holding found at the engine.
+    engine_started, ///< The engine restarted and lost the holding.
     engine_dropped, ///< The engine no longer lists it.
 };
 
-/// A lease that ended without its owner's word.
+/// A lease that ended without a release by its owner.
 struct ended_lease
 {
     lease_id lease;                         ///< The lease.
-    process_id owner;                       ///< Its owner; empty if nobody had claimed it.
-    holding what;                           ///< What it was on.
-    lease_end why = lease_end::not_renewed; ///< Why it ended.
+    process_id owner;                       ///< Owner; empty if the holding was never claimed.
+    holding what;                           ///< The holding.
+    lease_end why = lease_end::not_renewed; ///< Reason of the end.
 
     friend auto operator==(const ended_lease&, const ended_lease&) -> bool = default;
 };
 
-/// A cancel to send to the engine now.
+/// A cancel to send to the engine.
 struct cancel_request
 {
-    holding_name what;       ///< What to free.
-    std::uint32_t tries = 1; ///< How often it has been sent with this one.
+    holding_name what;            ///< Holding to free.
+    std::uint32_t send_count = 1; ///< Number of sends, including this one.
 
     friend auto operator==(const cancel_request&, const cancel_request&) -> bool = default;
 };
 
-/// What a tick leads to.
+/// Actions requested by a tick.
 struct lease_actions
 {
-    std::vector<cancel_request>
-        cancels;                    ///< To send now; confirmed() when the engine says it holds it no more.
-    std::vector<ended_lease> ended; ///< Owners to tell.
+    std::vector<cancel_request> cancels; ///< To send now; confirmed() reports the engine's confirmation.
+    std::vector<ended_lease> ended;      ///< Ended leases, whose owners are to be notified.
 
     friend auto operator==(const lease_actions&, const lease_actions&) -> bool = default;
 };
 
-/// The engine's word about what it holds.
+/// The engine's list of its holdings.
 struct engine_inventory
 {
-    instant asked;             ///< When it was asked, so that what began later is not missed.
-    incarnation start;         ///< Number of the engine's present start.
-    std::vector<holding> held; ///< What it holds.
+    instant asked;             ///< Time of the query; holdings that began later may be missing.
+    incarnation start;         ///< Incarnation of the engine.
+    std::vector<holding> held; ///< Streams and KV cache entries.
 
     friend auto operator==(const engine_inventory&, const engine_inventory&) -> bool = default;
 };
 
-/// Everything that is held at an engine, each thing with an owner and an end.
+/// Table of the holdings of an engine; each has an owner and an expiry.
 ///
-/// Guarded failure: a gateway dies, a cancel is lost, or the sidecar itself is replaced, and the engine keeps
-/// memory that nobody will ever free. Invariant: everything known to be at the engine has an owner whose
-/// lease runs, or a pending cancel that is repeated until the engine confirms; what the engine lists and
-/// nobody here knows gets a time of grace and then a cancel. Bounds: `max_holdings` (hold() is then refused,
-/// before anything is put to the engine) and `max_adopted` (the rest is taken over by a later inventory, when
-/// there is room).
+/// Guarded failure: a gateway dies, a cancel is lost or the sidecar is replaced, and the engine leaks memory.
+/// Invariant: every holding known to be at the engine has an owner with a valid lease, or a pending cancel
+/// that is repeated until the engine confirms it. A holding that the engine lists and the table doesn't know
+/// is adopted for a grace period and then cancelled. Bounds: `max_holdings` (hold() is then refused, before
+/// anything is sent to the engine) and `max_adopted` (the rest is adopted from a later inventory).
 class lease_table
 {
 public:
-    /// An empty table. `seed` spreads the cancels' repeats.
+    /// Creates an empty table. `seed` sets the jitter of repeated cancels.
     lease_table(lease_table_options options, std::uint64_t seed);
 
-    /// Before anything is put to the engine: `owner` will hold it. The same owner gets the same lease again;
-    /// a holding found at the engine is claimed by it. `conflict` if another has it or it is being cancelled.
+    /// Registers `owner` for a holding, before anything is sent to the engine. The same owner gets the same
+    /// lease again, and an adopted holding is claimed by it. Fails with `conflict` if another owner has it or
+    /// it is being cancelled, and with `limit_reached` at the bound.
     [[nodiscard]] auto hold(instant now, const process_id& owner, const holding& what)
         -> result<holding_lease>;
-    /// The owner still wants it; false if the lease has ended.
+    /// Renews a lease for another term. Returns false if it has ended.
     [[nodiscard]] auto renew(instant now, lease_id lease) -> bool;
-    /// The owner wants it no more: cancelled until the engine confirms.
+    /// Releases a holding: its cancel is repeated until the engine confirms it.
     void release(instant now, lease_id lease);
-    /// The engine itself said that it holds this no more: a stream's end, or the answer to a cancel.
+    /// Handles the engine's report that it no longer holds this, at a stream's end or as answer to a cancel.
     void confirmed(const holding_name& name);
-    /// The owner is gone: all that it holds is cancelled.
+    /// Ends all leases of a dead owner and cancels its holdings.
     void owner_gone(instant now, const process_id& owner);
-    /// Compares with what the engine says it holds.
+    /// Compares the table with the engine's inventory.
     void reconcile(instant now, const engine_inventory& inventory);
 
-    /// Ends what is over and hands out the cancels that are due. To be called a few times in each term.
+    /// Expires leases and returns the cancels that are due. Must be called several times in each term.
     [[nodiscard]] auto tick(instant now) -> lease_actions;
 
-    /// Holdings with an owner, adopted ones included.
+    /// Returns the number of holdings without a pending cancel, including adopted ones.
     [[nodiscard]] auto owned() const -> std::size_t { return leases_.size() - cancelling_; }
-    /// Holdings whose cancel is not confirmed yet.
+    /// Returns the number of holdings whose cancel is not confirmed yet.
     [[nodiscard]] auto cancelling() const -> std::size_t { return cancelling_; }
-    /// Tokens of all of them.
+    /// Returns the memory of all holdings in tokens.
     [[nodiscard]] auto tokens() const -> token_count { return tokens_; }
-    /// Whether it is known here, with an owner or a pending cancel.
+    /// Returns whether the table has the holding, with an owner or a pending cancel.
     [[nodiscard]] auto knows(const holding_name& name) const -> bool { return by_name_.count(name) > 0; }
 
 private:
@@ -174,7 +173,7 @@
         hold_state state = hold_state::owned;
         instant began;
         instant due;
-        std::uint32_t tries = 0;
+        std::uint32_t send_count = 0;
     };
     using entries = std::map<lease_id, entry>;
 
@@ -186,8 +185,8 @@
     void engine_restarted();
     void drop_unlisted(const engine_inventory& inventory);
     void adopt_unknown(instant now, const engine_inventory& inventory);
-    void excuse_own_pause(instant now);
-    [[nodiscard]] auto next_retry(std::uint32_t tries) -> duration;
+    void extend_leases_after_pause(instant now);
+    [[nodiscard]] auto next_retry(std::uint32_t send_count) -> duration;
 
     lease_table_options options_;
     random_source random_;
--- a/include/dragonflymill/lease/own_lease.h
+++ b/include/dragonflymill/lease/own_lease.h
@@ -10,44 +10,45 @@
 /// Settings of an own_lease.
 struct own_lease_options
 {
-    incarnation self;           ///< This start of the sidecar.
-    duration term = 3s;         ///< How long one confirmation is good for.
-    duration predecessor = 4s;  ///< Time a new start waits first: `term` and a margin for clock rates.
-    duration bundle_term = 11s; ///< How long a peer's confirmation of the bundle is good for.
+    incarnation self;           ///< Incarnation of this sidecar.
+    duration term = 3s;         ///< Validity of a confirmation by the own address.
+    duration predecessor = 4s;  ///< Wait of a new start: `term` plus a margin for clock rate differences.
+    duration bundle_term = 11s; ///< Validity of a peer's confirmation of the bundle.
 };
 
-/// A sidecar's lease on acting for its upstream, without a store: it calls its own configured address, and
-/// the answer carries the incarnation that holds that address now. Once a successor has bound the address,
-/// the predecessor gets no confirmation any more and its lease runs out; the successor waits for that time
-/// first.
+/// Lease of a sidecar on acting for its upstream, without an external store. The sidecar calls its own
+/// configured address, and the answer carries the incarnation that holds the address. Once a successor has
+/// bound the address, the predecessor gets no more confirmations and its lease expires. The successor waits
+/// for that time before it acts.
 ///
-/// Guarded failure: a paused sidecar wakes beside its successor and both give orders to the engine, or both
-/// run the same call. Only time on the own clock is used, counted from before the confirming call was sent.
-/// What it can't do: a process paused between the look at its lease and the write that follows (see
-/// docs/design/leases.md).
+/// Guarded failure: a paused sidecar resumes while its successor is running, and both send orders to the
+/// engine or run the same call. Only the local clock is used, counted from before the confirming call was
+/// sent. Limitation: it doesn't stop a process that is paused between the check of its lease and the write
+/// that follows (see docs/design/leases.md).
 class own_lease
 {
 public:
-    /// No lease yet.
+    /// Creates a lease that is not valid yet.
     own_lease(instant now, own_lease_options options);
 
-    /// The call sent at `asked` to the own address was answered by `holder`.
+    /// Records that incarnation `holder` answered the call sent to the own address at `asked`.
     void confirmed(instant asked, incarnation holder);
-    /// A peer that was asked at `asked` has the same bundle version in force, or none newer.
+    /// Records that a peer queried at `asked` has no newer bundle version in force.
     void bundle_confirmed(instant asked);
 
-    /// Until when this sidecar may act; a moment in the past when it may not.
+    /// Returns the time until which this sidecar may act; a time in the past if it may not.
     [[nodiscard]] auto until() const -> instant;
-    /// Whether it may act now: the predecessor is waited out and both confirmations are fresh.
+    /// Returns whether the sidecar may act now: the predecessor's lease has expired and both confirmations
+    /// are valid.
     [[nodiscard]] auto live(instant now) const -> bool;
-    /// Whether another incarnation has answered at the own address: this one is over.
+    /// Returns whether another incarnation has answered at the own address, which ends this lease for good.
     [[nodiscard]] auto superseded() const -> bool { return superseded_; }
 
 private:
     own_lease_options options_;
-    instant acts_from_;
-    std::optional<instant> address_asked_;
-    std::optional<instant> bundle_asked_;
+    instant valid_from_;
+    std::optional<instant> address_confirmed_;
+    std::optional<instant> bundle_confirmed_;
     bool superseded_ = false;
 };
 
--- a/src/lease/lease_table.cpp
+++ b/src/lease/lease_table.cpp
@@ -8,10 +8,10 @@
 namespace dragonflymill {
 namespace {
 
-/// Doublings after which the wait between two cancels has reached its longest in any case.
+/// Doublings after which the delay between cancels has reached its maximum in any case.
 constexpr std::uint32_t max_doublings = 16;
 
-auto taken() -> error
+auto held_elsewhere() -> error
 {
     return {error_kind::conflict, "the engine holds this for another owner, or it is being cancelled",
             "use a new attempt number or span name"};
@@ -39,7 +39,7 @@
         const bool claimable = held.state == hold_state::adopted;
         const bool same = held.state == hold_state::owned && held.owner == owner;
         if (!claimable && !same) {
-            return taken();
+            return held_elsewhere();
         }
         held.state = hold_state::owned;
         held.owner = owner;
@@ -70,12 +70,12 @@
 
 auto lease_table::renew(instant now, lease_id lease) -> bool
 {
-    excuse_own_pause(now);
+    extend_leases_after_pause(now);
     const auto found = leases_.find(lease);
     if (found == leases_.end() || found->second.state != hold_state::owned) {
         return false;
     }
-    // Renewed late: the lease ended, even if no tick has said so yet. A paused owner must not get it back.
+    // The lease has expired even if no tick has ended it yet. An owner that was paused must not get it back.
     if (guard_holds(guard::lease_end) && found->second.due <= now) {
         return false;
     }
@@ -117,7 +117,7 @@
 void lease_table::cancel(instant now, entries::iterator held)
 {
     held->second.state = hold_state::cancelling;
-    held->second.tries = 0;
+    held->second.send_count = 0;
     ++cancelling_;
     set_due(held->first, held->second, now);
 }
@@ -140,7 +140,7 @@
 
 void lease_table::reconcile(instant now, const engine_inventory& inventory)
 {
-    // An answer that was overtaken by a later one tells nothing new, and maybe of a former start.
+    // An inventory that is older than the last one is outdated and may be of an earlier start of the engine.
     if (last_inventory_ && inventory.asked < *last_inventory_) {
         return;
     }
@@ -172,8 +172,8 @@
     }
     for (auto next = leases_.begin(); next != leases_.end();) {
         const auto held = next++;
-        // What began after the engine was asked may be missing from its list and be held all the same; the
-        // same goes for what is on its way to the engine, for as long as one lease lasts.
+        // A holding that began after the query may be missing from the list although the engine holds it. So
+        // may one whose request is still on its way to the engine, for which one lease term is allowed.
         const bool settled = held->second.began + options_.term <= inventory.asked;
         if (!settled || listed.count(held->second.what.name) > 0) {
             continue;
@@ -188,8 +188,8 @@
 void lease_table::adopt_unknown(instant now, const engine_inventory& inventory)
 {
     for (const holding& item : inventory.held) {
-        const bool room = leases_.size() < options_.max_holdings + options_.max_adopted;
-        if (room && by_name_.count(item.name) == 0) {
+        const bool has_capacity = leases_.size() < options_.max_holdings + options_.max_adopted;
+        if (has_capacity && by_name_.count(item.name) == 0) {
             add(now, item, process_id(), hold_state::adopted);
         }
     }
@@ -197,7 +197,7 @@
 
 auto lease_table::tick(instant now) -> lease_actions
 {
-    excuse_own_pause(now);
+    extend_leases_after_pause(now);
     lease_actions actions;
     while (!due_.empty() && due_.begin()->first <= now) {
         const auto held = leases_.find(due_.begin()->second);
@@ -214,19 +214,20 @@
         if (actions.cancels.size() >= options_.max_cancels) {
             break;
         }
-        // Guarded failure: the cancel itself is lost. It is repeated until the engine says that it holds
-        // nothing, however long that takes.
-        ++due.tries;
-        actions.cancels.push_back({due.what.name, due.tries});
-        set_due(held->first, due, now + next_retry(due.tries));
+        // Guarded failure: the cancel itself is lost. It is repeated without limit until the engine confirms
+        // that it no longer holds the stream or span.
+        ++due.send_count;
+        actions.cancels.push_back({due.what.name, due.send_count});
+        set_due(held->first, due, now + next_retry(due.send_count));
     }
     actions.ended = std::exchange(ended_, {});
     return actions;
 }
 
-void lease_table::excuse_own_pause(instant now)
+void lease_table::extend_leases_after_pause(instant now)
 {
-    // Guarded failure: this process was paused, and the renewals sent meanwhile still wait in its sockets.
+    // Guarded failure: this process was paused, and the renewals sent meanwhile are still in its socket
+    // buffers.
     const bool paused = last_call_ && now - *last_call_ > options_.pause_threshold;
     const duration gap = paused ? now - *last_call_ : duration::zero();
     last_call_ = now;
@@ -237,12 +238,12 @@
     }
 }
 
-auto lease_table::next_retry(std::uint32_t tries) -> duration
+auto lease_table::next_retry(std::uint32_t send_count) -> duration
 {
-    const std::uint32_t doublings = std::min(tries - 1, max_doublings);
-    const duration longest = std::min(options_.first_retry * (1U << doublings), options_.longest_retry);
-    const auto half = static_cast<std::uint64_t>(longest.count() / 2);
-    return longest / 2 + duration(static_cast<duration::rep>(random_.below(half + 1)));
+    const std::uint32_t doublings = std::min(send_count - 1, max_doublings);
+    const duration max_delay = std::min(options_.initial_retry * (1U << doublings), options_.max_retry);
+    const auto half = static_cast<std::uint64_t>(max_delay.count() / 2);
+    return max_delay / 2 + duration(static_cast<duration::rep>(random_.below(half + 1)));
 }
 
 } // namespace dragonflymill
--- a/src/lease/own_lease.cpp
+++ b/src/lease/own_lease.cpp
@@ -8,9 +8,10 @@
 
 own_lease::own_lease(instant now, own_lease_options options)
     : options_(options)
-    , acts_from_(now + options.predecessor)
+    , valid_from_(now + options.predecessor)
 {
-    DRAGONFLYMILL_ASSERT(options.predecessor > options.term, "a successor waits longer than a lease lasts");
+    DRAGONFLYMILL_ASSERT(options.predecessor > options.term,
+                         "the wait for a predecessor must exceed the lease term");
 }
 
 void own_lease::confirmed(instant asked, incarnation holder)
@@ -19,25 +20,25 @@
         superseded_ = true;
         return;
     }
-    address_asked_ = std::max(asked, address_asked_.value_or(asked));
+    address_confirmed_ = std::max(asked, address_confirmed_.value_or(asked));
 }
 
 void own_lease::bundle_confirmed(instant asked)
 {
-    bundle_asked_ = std::max(asked, bundle_asked_.value_or(asked));
+    bundle_confirmed_ = std::max(asked, bundle_confirmed_.value_or(asked));
 }
 
 auto own_lease::until() const -> instant
 {
-    if (superseded_ || !address_asked_ || !bundle_asked_) {
+    if (superseded_ || !address_confirmed_ || !bundle_confirmed_) {
         return instant::min();
     }
-    return std::min(*address_asked_ + options_.term, *bundle_asked_ + options_.bundle_term);
+    return std::min(*address_confirmed_ + options_.term, *bundle_confirmed_ + options_.bundle_term);
 }
 
 auto own_lease::live(instant now) const -> bool
 {
-    return now >= acts_from_ && now < until();
+    return now >= valid_from_ && now < until();
 }
 
 } // namespace dragonflymill
--- a/tests/lease/lease_schedule_test.cpp
+++ b/tests/lease/lease_schedule_test.cpp
@@ -11,26 +11,25 @@
 using namespace dragonflymill;
 using namespace dragonflymill::test;
 
-// Three gateways, a sidecar that is replaced now and then, and an engine, with a bag between sidecar and
-// engine and lost renewals before. Drawn by seed: lost, late, doubled and reordered messages, pauses of all,
-// deaths of gateways and sidecar, restarts of the engine. Checked: when the gateways stop and the network is
-// well again, the engine holds nothing after a bounded time; and a stream whose owner renews it in time is
-// not cancelled.
+// Randomized schedules with three gateways, a sidecar that is replaced at times, and an engine, with a faulty
+// network between sidecar and engine and lost renewals. Drawn from the seed: lost, late, duplicated and
+// reordered messages, pauses, deaths of gateways and sidecar, restarts of the engine. Checked: once the
+// gateways stop and the network recovers, the engine holds nothing after a bounded time.
 
 namespace {
 
 constexpr std::uint64_t seeds = 400;
-constexpr duration troubled = 120s;
-constexpr duration settled = 60s;
+constexpr duration fault_time = 120s;
+constexpr duration recovery_time = 60s;
 constexpr duration step = 100ms;
 constexpr std::size_t gateways = 3;
 
 enum class message_kind
 {
-    start,     ///< Sidecar to engine.
-    cancel,    ///< Sidecar to engine.
-    confirm,   ///< Engine to sidecar.
-    inventory, ///< Engine to sidecar.
+    start,     ///< From sidecar to engine.
+    cancel,    ///< From sidecar to engine.
+    confirm,   ///< From engine to sidecar.
+    inventory, ///< From engine to sidecar.
 };
 
 struct message
@@ -54,44 +53,44 @@
 public:
     explicit schedule(std::uint64_t seed)
         : random_(seed)
-        , bag_(random_.next(), {.drop = 0.15, .duplicate = 0.1, .late = 0.1, .late_delay = 8s})
+        , network_(random_.next(), {.drop = 0.15, .duplicate = 0.1, .late = 0.1, .late_delay = 8s})
         , table_(std::make_unique<lease_table>(lease_table_options{}, random_.next()))
     {
     }
 
-    /// What was broken, if anything.
+    /// Runs the schedule; returns the violated property, if any.
     auto run() -> std::optional<std::string>
     {
-        for (instant now{}; now < instant(troubled + settled); now += step) {
-            const bool calm = now >= instant(troubled);
-            if (!calm) {
-                disturb(now);
+        for (instant now{}; now < instant(fault_time + recovery_time); now += step) {
+            const bool recovering = now >= instant(fault_time);
+            if (!recovering) {
+                inject_faults(now);
                 for (std::size_t i = 0; i < gateways; ++i) {
-                    act(now, i);
+                    run_gateway(now, i);
                 }
             }
-            else if (now == instant(troubled)) {
-                bag_.change({});
+            else if (now == instant(fault_time)) {
+                network_.change({});
                 paused_until_ = now;
             }
             if (now >= paused_until_) {
-                serve(now);
+                run_sidecar(now);
             }
             deliver(now);
         }
         if (!held_.empty()) {
-            return "the engine holds " + held_.begin()->first.id + " for nobody";
+            return "the engine holds " + held_.begin()->first.id + " without an owner";
         }
         return table_->owned() + table_->cancelling() == 0
                    ? std::nullopt
-                   : std::optional<std::string>("the table keeps a lease");
+                   : std::optional<std::string>("the table still has a lease");
     }
 
-    /// Streams that ran at the engine.
+    /// Returns the number of streams started at the engine.
     [[nodiscard]] auto started() const -> std::uint64_t { return started_; }
 
 private:
-    void disturb(instant now)
+    void inject_faults(instant now)
     {
         if (random_.chance(0.004)) {
             paused_until_ = now + duration(random_.below(15'000'000));
@@ -106,14 +105,14 @@
         }
     }
 
-    void act(instant now, std::size_t i)
+    void run_gateway(instant now, std::size_t i)
     {
         stream_of_gateway& own = streams_[i];
         if (now < paused_until_) {
             return;
         }
         if (!own.lease || random_.chance(0.002)) {
-            // A new stream; the former one was left behind if it was running, as when a gateway is replaced.
+            // Starts a new stream. A running one is abandoned, as when a gateway is replaced.
             own.id = "g" + std::to_string(i) + "-" + std::to_string(++numbers_);
             hold(now, i);
             return;
@@ -139,22 +138,22 @@
         own.lease = lease ? std::optional(lease.value().lease) : std::nullopt;
         own.sidecar = sidecar_;
         if (lease && new_stream) {
-            bag_.send(now, {message_kind::start, sidecar_, engine_, what, {}});
+            network_.send(now, {message_kind::start, sidecar_, engine_, what, {}});
         }
     }
 
-    void serve(instant now)
+    void run_sidecar(instant now)
     {
         const lease_actions actions = table_->tick(now);
         for (const cancel_request& cancel : actions.cancels) {
-            bag_.send(now, {message_kind::cancel, sidecar_, engine_, {cancel.what, {}, 0}, {}});
+            network_.send(now, {message_kind::cancel, sidecar_, engine_, {cancel.what, {}, 0}, {}});
         }
         if (now.time_since_epoch() % 2s == 0s) {
             engine_inventory listed{now, incarnation(engine_), {}};
             for (const auto& [name, what] : held_) {
                 listed.held.push_back(what);
             }
-            bag_.send(now, {message_kind::inventory, sidecar_, engine_, {}, listed});
+            network_.send(now, {message_kind::inventory, sidecar_, engine_, {}, listed});
         }
     }
 
@@ -164,14 +163,14 @@
             const bool to_engine = one.kind == message_kind::start || one.kind == message_kind::cancel;
             return to_engine || now >= paused_until_;
         };
-        while (const auto one = bag_.take(now, ready)) {
+        while (const auto one = network_.take(now, ready)) {
             handle(now, *one);
         }
     }
 
     void handle(instant now, const message& one)
     {
-        // Connections end with the process at either end.
+        // Messages are dropped with their connection when the process at either end has restarted.
         if (one.engine != engine_ || one.sidecar != sidecar_) {
             return;
         }
@@ -182,7 +181,7 @@
             break;
         case message_kind::cancel:
             held_.erase(one.what.name);
-            bag_.send(now, {message_kind::confirm, sidecar_, engine_, one.what, {}});
+            network_.send(now, {message_kind::confirm, sidecar_, engine_, one.what, {}});
             break;
         case message_kind::confirm:
             table_->confirmed(one.what.name);
@@ -194,7 +193,7 @@
     }
 
     random_source random_;
-    message_bag<message> bag_;
+    message_bag<message> network_;
     std::unique_ptr<lease_table> table_;
     std::array<stream_of_gateway, gateways> streams_;
     std::map<holding_name, holding> held_;
@@ -207,15 +206,16 @@
 
 } // namespace
 
-Test(lease_schedule, the_engine_holds_nothing_for_nobody)
+Test(lease_schedule, engine_holds_nothing_without_an_owner)
 {
     std::uint64_t started = 0;
-    run_schedules(seeds, "test_lease", "lease_schedule/the_engine_holds_nothing_for_nobody", [&](auto seed) {
-        schedule drawn(seed);
-        auto broken = drawn.run();
-        started += drawn.started();
-        return broken;
-    });
-    cr_assert(started > 0, "schedules in which nothing starts show nothing");
+    run_schedules(seeds, "test_lease", "lease_schedule/engine_holds_nothing_without_an_owner",
+                  [&](auto seed) {
+                      schedule drawn(seed);
+                      auto broken = drawn.run();
+                      started += drawn.started();
+                      return broken;
+                  });
+    cr_assert(started > 0, "no stream started in any schedule");
     std::printf("lease_schedule: %llu streams started\n", static_cast<unsigned long long>(started));
 }
--- a/tests/lease/lease_table_test.cpp
+++ b/tests/lease/lease_table_test.cpp
@@ -21,7 +21,7 @@
 
 const process_id gateway("g1");
 
-/// Runs ticks a tenth of a second apart and gathers what they lead to.
+/// Ticks every 100 ms and collects the actions.
 auto ticks(lease_table& table, duration from, duration to) -> lease_actions
 {
     lease_actions all;
@@ -35,7 +35,7 @@
 
 } // namespace
 
-Test(lease_table, held_renewed_released_confirmed)
+Test(lease_table, holds_renews_releases_and_confirms)
 {
     lease_table table({}, 1);
     const holding_lease lease = table.hold(at(0s), gateway, stream("r1")).value();
@@ -51,14 +51,14 @@
     cr_assert(table.cancelling() == 0 && table.owned() == 0 && table.tokens() == 0);
 }
 
-Test(lease_table, another_owner_is_refused)
+Test(lease_table, refuses_another_owner)
 {
     lease_table table({}, 1);
     cr_assert(table.hold(at(0s), gateway, stream("r1")));
     cr_assert(table.hold(at(0s), process_id("g2"), stream("r1")).error().kind() == error_kind::conflict);
 }
 
-Test(lease_table, at_its_bound_it_refuses_before_anything_is_held)
+Test(lease_table, refuses_beyond_max_holdings)
 {
     lease_table table({.max_holdings = 1}, 1);
     cr_assert(table.hold(at(0s), gateway, stream("r1")));
@@ -66,7 +66,7 @@
     cr_assert(!table.knows({false, "r2"}));
 }
 
-Test(lease_table, a_tick_hands_out_a_bounded_number_of_cancels)
+Test(lease_table, tick_returns_a_bounded_number_of_cancels)
 {
     lease_table table({.max_cancels = 3}, 1);
     for (int i = 0; i < 10; ++i) {
@@ -87,7 +87,7 @@
     }
 }
 
-Test(own_lease, needs_both_confirmations_and_waits_out_the_predecessor)
+Test(own_lease, needs_both_confirmations_after_the_wait_for_the_predecessor)
 {
     own_lease lease(at(0s), {.self = incarnation(2)});
     cr_assert(!lease.live(at(5s)));
@@ -98,27 +98,27 @@
     cr_assert(lease.live(at(5s)));
     cr_assert(!lease.live(at(7s)));
     lease.confirmed(at(11s), incarnation(2));
-    cr_assert(!lease.live(at(12'500ms)), "no peer has confirmed the bundle for too long");
+    cr_assert(!lease.live(at(12'500ms)), "the bundle confirmation has expired");
 }
 
 FAULT_CELL(request_cancel, message_lost)
 {
-    // A caller leaves, and the cancel to the engine is lost again and again. The engine would keep the memory
-    // for ever; the cancel is repeated, ever more slowly, until the engine confirms.
+    // Guards against a memory leak at the engine when cancels are lost again and again. The cancel is
+    // repeated with backoff until the engine confirms it.
     lease_table table({}, 1);
     const holding_lease lease = table.hold(at(0s), gateway, stream("r1")).value();
     table.release(at(0s), lease.lease);
     const std::size_t first_minute = ticks(table, 0s, 60s).cancels.size();
     cr_assert(first_minute > 10 && first_minute < 60);
-    cr_assert(!ticks(table, 600s, 610s).cancels.empty(), "given up, and the memory is lost for good");
+    cr_assert(!ticks(table, 600s, 610s).cancels.empty(), "the cancel is no longer repeated");
     table.confirmed({false, "r1"});
     cr_assert(ticks(table, 610s, 640s).cancels.empty());
 }
 
 FAULT_CELL(request_cancel, message_doubled)
 {
-    // The engine's confirmation arrives twice, and by then the name is in use again. The second copy may end
-    // the new lease early at the table, but the engine's inventory brings it back: nothing is lost for good.
+    // Guards against a leak by a duplicated confirmation that arrives when the name is in use again. The copy
+    // ends the new lease early, but the engine's inventory restores the holding.
     lease_table table({}, 1);
     const holding_lease lease = table.hold(at(0s), gateway, stream("r1")).value();
     table.release(at(0s), lease.lease);
@@ -132,22 +132,23 @@
 
 FAULT_CELL(request_cancel, message_reordered)
 {
-    // The cancel overtakes the request on its way to the engine: the engine confirms that it holds nothing,
-    // and then the request arrives and runs for nobody. The next inventory shows it and it is cancelled.
+    // Guards against a stream without an owner. The cancel overtakes the request on the way to the engine,
+    // which confirms that it holds nothing; then the request arrives. The next inventory lists it and it is
+    // cancelled.
     lease_table table({}, 1);
     const holding_lease lease = table.hold(at(0s), gateway, stream("r1")).value();
     table.release(at(10ms), lease.lease);
     table.confirmed({false, "r1"});
     table.reconcile(at(2s), {at(2s), incarnation(1), {stream("r1")}});
     const auto actions = ticks(table, 2s, 13s);
-    cr_assert(!actions.cancels.empty(), "held at the engine with no owner");
+    cr_assert(!actions.cancels.empty(), "a stream without an owner has to be cancelled");
     cr_assert(actions.ended.at(0).why == lease_end::not_claimed);
 }
 
 FAULT_CELL(request_cancel, process_dies)
 {
-    // The sidecar dies with cancels pending. Its successor knows nothing; it finds the holdings at the
-    // engine, gives their owners time to claim them, and cancels the rest.
+    // Guards against cancels that are lost with the sidecar. Its successor finds the holdings at the engine,
+    // waits for their owners to claim them, and cancels the rest.
     lease_table successor({}, 1);
     successor.reconcile(at(0s), {at(0s), incarnation(1), {stream("orphan"), span("kept")}});
     cr_assert(ticks(successor, 0s, 5s).cancels.empty());
@@ -157,25 +158,26 @@
     const auto actions = ticks(successor, 9'900ms, 14s);
     cr_assert(!actions.cancels.empty());
     for (const cancel_request& cancel : actions.cancels) {
-        cr_assert(cancel.what.id == "orphan", "what was claimed is cancelled");
+        cr_assert(cancel.what.id == "orphan", "a claimed holding was cancelled");
     }
 }
 
 FAULT_CELL(request_stream, process_dies)
 {
-    // A gateway dies in the middle of a stream. Its lease ends, the engine gets a cancel, its memory is free.
+    // Guards against a memory leak when a gateway dies during a stream: the lease expires and the stream is
+    // cancelled.
     lease_table table({}, 1);
     cr_assert(table.hold(at(0s), gateway, stream("r1")));
     const auto actions = ticks(table, 0s, 6s);
-    cr_assert(actions.ended.size() == 1, "the engine's memory is lost for good");
+    cr_assert(actions.ended.size() == 1, "the lease did not expire");
     cr_assert(actions.ended[0].why == lease_end::not_renewed);
     cr_assert(!actions.cancels.empty());
 }
 
 FAULT_CELL(request_stream, paused_wakes_late)
 {
-    // A gateway is paused for a minute and then renews a lease that has ended. It doesn't come back to life;
-    // the gateway learns it and starts its request anew.
+    // Guards against reviving an expired lease. A gateway is paused for a minute and then renews it; the
+    // renewal fails and the gateway has to restart its request.
     lease_table table({}, 1);
     const holding_lease lease = table.hold(at(0s), gateway, stream("r1")).value();
     cr_assert(ticks(table, 0s, 60s).ended.size() == 1);
@@ -185,8 +187,8 @@
 
 FAULT_CELL_MORE(request_stream, paused_wakes_late, the_sidecar_itself)
 {
-    // The sidecar is paused for a minute under a running stream, whose renewals wait in its sockets. The
-    // stream goes on when it wakes.
+    // Guards against cancelling a healthy stream after the sidecar was paused for a minute: the renewals are
+    // still in its socket buffers.
     lease_table table({}, 1);
     const holding_lease lease = table.hold(at(0s), gateway, stream("r1")).value();
     cr_assert(table.tick(at(1s)).ended.empty());
@@ -196,8 +198,8 @@
 
 FAULT_CELL(request_stream, upstream_cold)
 {
-    // The engine restarts. What it held is gone, so no cancel is sent for it, and its owners are told at once
-    // instead of at the end of their leases.
+    // Guards against cancels to a restarted engine, which holds nothing, and against owners that learn of the
+    // loss only when their leases expire.
     lease_table table({}, 1);
     table.reconcile(at(0s), {at(0s), incarnation(1), {}});
     cr_assert(table.hold(at(1s), gateway, stream("r1")));
@@ -210,8 +212,8 @@
 
 FAULT_CELL(request_stream, message_late)
 {
-    // An old inventory arrives late, after a newer one and after the engine's restart. It must not bring the
-    // former start back and drop what is held now.
+    // Guards against an old inventory that arrives after a newer one and after the engine's restart: it must
+    // not drop the present holdings.
     lease_table table({}, 1);
     table.reconcile(at(5s), {at(5s), incarnation(2), {}});
     cr_assert(table.hold(at(5s), gateway, stream("r1")));
@@ -221,8 +223,8 @@
 
 FAULT_CELL(request_stream, message_lost)
 {
-    // The stream's end is lost between engine and sidecar. The inventory no longer lists it; the lease is
-    // over and its owner is told.
+    // Guards against a lease that stays after the stream's end was lost between engine and sidecar. The
+    // inventory no longer lists the stream, so the lease ends and its owner is notified.
     lease_table table({}, 1);
     const holding_lease lease = table.hold(at(0s), gateway, stream("r1")).value();
     cr_assert(table.renew(at(4s), lease.lease));
@@ -236,8 +238,8 @@
 
 FAULT_CELL(request_resume, process_dies)
 {
-    // The sidecar is replaced under a running stream. The gateway comes back to the successor and claims what
-    // the engine still holds: it is resumed, not cancelled, and nobody else can claim it.
+    // Guards against cancelling a stream when the sidecar is replaced. The gateway claims the stream at the
+    // successor: it is resumed, and no other owner can claim it.
     lease_table successor({}, 1);
     successor.reconcile(at(0s), {at(0s), incarnation(1), {stream("r1")}});
     cr_assert(successor.hold(at(3s), gateway, stream("r1")));
@@ -247,7 +249,8 @@
 
 FAULT_CELL(gang_release, process_dies)
 {
-    // A gateway dies with shares of a gang at this engine. Word of its death frees them at once.
+    // Guards against gang shares that stay reserved until they expire although their gateway is known to be
+    // dead.
     lease_table table({}, 1);
     cr_assert(table.hold(at(0s), gateway, {{true, "share-1"}, holding_kind::gang_share, 200'000}));
     cr_assert(table.hold(at(0s), process_id("g2"), span("other")));
@@ -259,8 +262,8 @@
 
 FAULT_CELL(gang_release, message_lost)
 {
-    // The release of a gang's span is lost on the way to the engine: 200,000 tokens of its memory. Repeated
-    // until confirmed.
+    // Guards against a memory leak when the release of a gang's span is lost on the way to the engine,
+    // 200,000 tokens of memory. The release is repeated until it is confirmed.
     lease_table table({}, 1);
     const holding_lease lease = table.hold(at(0s), gateway, span("span-1")).value();
     table.release(at(0s), lease.lease);
@@ -270,8 +273,8 @@
 
 FAULT_CELL(gang_release, two_faults)
 {
-    // The gateway dies, and the sidecar is replaced before it can release the gang's span. The successor
-    // finds the span, waits for a claim that never comes, and releases it.
+    // Guards against a leaked span when the gateway dies and the sidecar is replaced before it can release
+    // the span. The successor finds the span, waits for a claim that never comes, and releases it.
     lease_table successor({}, 1);
     successor.reconcile(at(0s), {at(0s), incarnation(1), {span("span-1")}});
     successor.owner_gone(at(1s), gateway);
@@ -280,8 +283,7 @@
 
 FAULT_CELL(request_cancel, upstream_cold)
 {
-    // The engine restarts while cancels are pending. There is nothing left to cancel, and the new start gets
-    // none of the old one's.
+    // Guards against sending cancels for an earlier start of the engine to its new start.
     lease_table table({}, 1);
     table.reconcile(at(0s), {at(0s), incarnation(1), {}});
     table.release(at(1s), table.hold(at(0s), gateway, stream("r1")).value().lease);
@@ -292,7 +294,7 @@
 
 FAULT_CELL(request_cancel, paused_wakes_late)
 {
-    // The sidecar is paused with a cancel pending, and goes on with it when it wakes.
+    // Guards against a pending cancel that is dropped when the sidecar is paused.
     lease_table table({}, 1);
     table.release(at(0s), table.hold(at(0s), gateway, stream("r1")).value().lease);
     cr_assert(table.tick(at(0s)).cancels.size() == 1);
@@ -301,8 +303,8 @@
 
 FAULT_CELL(gang_release, paused_wakes_late)
 {
-    // A gateway is paused with a gang's share and wakes when its lease is over. It can't renew the share: the
-    // rest of its gang is gone as well.
+    // Guards against reviving a gang share that expired while its gateway was paused: the rest of the gang is
+    // lost as well.
     lease_table table({}, 1);
     const holding_lease lease = table.hold(at(0s), gateway, span("share")).value();
     cr_assert(!ticks(table, 0s, 10s).cancels.empty());
@@ -311,7 +313,8 @@
 
 FAULT_CELL(gang_release, message_doubled)
 {
-    // The wish to release arrives twice. One cancel is pending, at its own pace.
+    // Guards against two cancels for a release that arrives twice: one cancel stays pending with its own
+    // backoff.
     lease_table table({}, 1);
     const holding_lease lease = table.hold(at(0s), gateway, span("share")).value();
     table.release(at(0s), lease.lease);
