--- a/include/dragonflymill/gang/gang_messages.h
+++ b/include/dragonflymill/gang/gang_messages.h
@@ -11,28 +11,28 @@
 
 namespace dragonflymill {
 
-/// An upstream that could hold a part of a prompt.
+/// An upstream that may hold a part of a prompt.
 struct gang_candidate
 {
-    upstream_id upstream;             ///< Its name.
-    failure_domain_id failure_domain; ///< Where it is.
-    token_count capacity = 0;         ///< Tokens that gangs may take there in all.
-    token_count free = 0; ///< The part of these that is free, as far as is known; 0 if it takes nothing.
+    upstream_id upstream;             ///< Id of the upstream.
+    failure_domain_id failure_domain; ///< Its failure domain.
+    token_count capacity = 0;         ///< Tokens that gangs may hold there in total.
+    token_count free = 0; ///< Free part of the capacity by the last report; 0 if it accepts no work.
 
     friend auto operator==(const gang_candidate&, const gang_candidate&) -> bool = default;
 };
 
-/// A prompt that is larger than any one engine.
+/// A request whose prompt no single engine can hold.
 struct gang_request
 {
     request_id request;            ///< The request.
-    token_count prompt_tokens = 0; ///< Length of the prompt.
-    token_count max_tokens = 0;    ///< Most tokens of the answer; the decoding engine holds them too.
+    token_count prompt_tokens = 0; ///< Length of the prompt in tokens.
+    token_count max_tokens = 0;    ///< Maximum length of the answer, which the decode engine holds as well.
 
     friend auto operator==(const gang_request&, const gang_request&) -> bool = default;
 };
 
-/// Names one round of reservations for a request; a later round has a higher number.
+/// Identifies one round of reservations for a request; rounds are numbered in ascending order.
 struct gang_key
 {
     request_id request;   ///< The request.
@@ -42,71 +42,71 @@
     friend auto operator<=>(const gang_key&, const gang_key&) -> std::strong_ordering = default;
 };
 
-/// A sidecar reserved a share, or renewed it.
+/// A sidecar granted a share or renewed it.
 struct share_granted
 {
     gang_key gang;         ///< The round.
-    upstream_id upstream;  ///< Where.
-    lease_id lease;        ///< The share's lease.
-    std::uint64_t ask = 0; ///< Number of the reservation or renewal that it answers.
+    upstream_id upstream;  ///< Upstream of the share.
+    lease_id lease;        ///< Lease of the share.
+    std::uint64_t ask = 0; ///< Number that the answer repeats, to detect late grants.
 
     friend auto operator==(const share_granted&, const share_granted&) -> bool = default;
 };
 
-/// A sidecar has no room for a share, or ended it.
+/// A sidecar refused a share for lack of capacity, or ended it.
 struct share_refused
 {
     gang_key gang;           ///< The round.
-    upstream_id upstream;    ///< Where.
-    duration retry_after{0}; ///< When there may be room.
+    upstream_id upstream;    ///< Upstream of the share.
+    duration retry_after{0}; ///< Time after which capacity may be free.
 
-    /// Whether the sidecar keeps its next free memory for this share, and takes no other long prompt, as long
-    /// as it is asked again within each `hold`.
+    /// Whether the sidecar reserves its next free memory for this share, and admits no other long prompt, as
+    /// long as the request is repeated within each `hold`.
     bool in_line = false;
 
     friend auto operator==(const share_refused&, const share_refused&) -> bool = default;
 };
 
-/// A sidecar confirms that it holds nothing for the round.
+/// A sidecar confirmed that it holds nothing for the round.
 struct share_released
 {
     gang_key gang;        ///< The round.
-    upstream_id upstream; ///< Where.
+    upstream_id upstream; ///< Upstream of the share.
 
     friend auto operator==(const share_released&, const share_released&) -> bool = default;
 };
 
-/// Ask a sidecar to reserve a share. It must be idempotent there, and must end by itself after `hold`.
+/// Requests a share from a sidecar. The reservation must be idempotent there and must expire after `hold`.
 struct reserve_share
 {
     gang_key gang;          ///< The round.
-    upstream_id upstream;   ///< Where.
-    token_count tokens = 0; ///< How much.
-    duration hold{0};       ///< How long it may stand without renewal.
-    std::uint64_t ask = 0;  ///< Number that the answer repeats: a late grant must not pass for a renewal.
+    upstream_id upstream;   ///< Upstream of the share.
+    token_count tokens = 0; ///< Size of the share in tokens.
+    duration hold{0};       ///< Term of the share unless renewed.
+    std::uint64_t ask = 0;  ///< Number that the answer repeats, to detect late grants.
 
     friend auto operator==(const reserve_share&, const reserve_share&) -> bool = default;
 };
 
-/// Ask a sidecar to keep a share for another `hold`; it answers `share_granted`, or `share_refused` if it
-/// ended.
+/// Requests another term of `hold` for a share. The sidecar answers `share_granted`, or `share_refused` if
+/// the share has ended.
 struct renew_share
 {
     gang_key gang;         ///< The round.
-    upstream_id upstream;  ///< Where.
-    lease_id lease;        ///< The share's lease.
-    duration hold{0};      ///< How long it may stand without another renewal.
-    std::uint64_t ask = 0; ///< Number that the answer repeats.
+    upstream_id upstream;  ///< Upstream of the share.
+    lease_id lease;        ///< Lease of the share.
+    duration hold{0};      ///< Term of the share unless renewed again.
+    std::uint64_t ask = 0; ///< Number that the answer repeats, to detect late grants.
 
     friend auto operator==(const renew_share&, const renew_share&) -> bool = default;
 };
 
-/// Give a share back, also one that may never have been granted. Repeated until it is confirmed or must have
-/// ended.
+/// Releases a share, which may never have been granted. Repeated until it is confirmed or the share must have
+/// expired.
 struct release_share
 {
     gang_key gang;        ///< The round.
-    upstream_id upstream; ///< Where.
+    upstream_id upstream; ///< Upstream of the share.
 
     friend auto operator==(const release_share&, const release_share&) -> bool = default;
 };
@@ -117,12 +117,13 @@
     upstream_id upstream;  ///< The engine.
     lease_id lease;        ///< Lease of its share.
     token_count begin = 0; ///< First token of the span.
-    token_count end = 0;   ///< One behind its last token.
+    token_count end = 0;   ///< One past the last token of the span.
 
     friend auto operator==(const kv_span&, const kv_span&) -> bool = default;
 };
 
-/// Every share is held: export and import the spans in order, and decode at the upstream of the last one.
+/// Every share is held: the spans are to be exported and imported in order, and the answer is decoded at the
+/// upstream of the last one.
 struct gang_ready
 {
     gang_key gang;              ///< The round.
@@ -131,16 +132,16 @@
     friend auto operator==(const gang_ready&, const gang_ready&) -> bool = default;
 };
 
-/// The gang can't be had, or is lost; every share was given back.
+/// The gang could not be reserved or was lost; every share was released.
 struct gang_failed
 {
     gang_key gang; ///< The round.
-    refusal why;   ///< `ran` is `no` if the gang was never ready.
+    refusal why;   ///< The refusal; `ran` is `no` if the gang was never ready.
 
     friend auto operator==(const gang_failed&, const gang_failed&) -> bool = default;
 };
 
-/// What a planner wants done.
+/// Any output of a gang_planner.
 using gang_output = std::variant<reserve_share, renew_share, release_share, gang_ready, gang_failed>;
 
 } // namespace dragonflymill
--- a/include/dragonflymill/gang/span_plan.h
+++ b/include/dragonflymill/gang/span_plan.h
@@ -8,35 +8,36 @@
 
 namespace dragonflymill {
 
-/// A share that a gang wants.
-struct wanted_share
+/// A planned share of a gang.
+struct planned_share
 {
-    upstream_id upstream;   ///< Where.
-    token_count tokens = 0; ///< How much.
+    upstream_id upstream;   ///< Upstream of the share.
+    token_count tokens = 0; ///< Size of the share in tokens.
 
-    friend auto operator==(const wanted_share&, const wanted_share&) -> bool = default;
+    friend auto operator==(const planned_share&, const planned_share&) -> bool = default;
 };
 
-/// What a share may take of an upstream.
+/// Memory of an upstream that a share is planned on.
 enum class share_basis
 {
-    free,     ///< What is free now.
-    capacity, ///< What gangs may have in all: it has to wait in line for a part of it.
+    free,     ///< Memory that is free now.
+    capacity, ///< All memory that gangs may use: the share may have to be queued for a part of it.
 };
 
-/// The fewest shares that hold the request, of nearly equal size, in the global order: by name of upstream.
-/// They are taken from one failure domain if one has room, since a gang is lost with any of its members'
-/// domains. Nothing if the room does not suffice.
+/// Returns the fewest shares that hold the request, of nearly equal size and in the global order, by upstream
+/// id. All are in one failure domain if one has the capacity, since a gang is lost with the domain of any
+/// member. Returns nothing if the capacity does not suffice.
 [[nodiscard]] auto plan_shares(const gang_request& request, std::span<const gang_candidate> candidates,
                                share_basis basis = share_basis::free)
-    -> std::optional<std::vector<wanted_share>>;
+    -> std::optional<std::vector<planned_share>>;
 
-/// Whether the candidates could hold the request if nothing else were there.
-[[nodiscard]] auto could_ever_hold(const gang_request& request, std::span<const gang_candidate> candidates)
+/// Returns whether the candidates could hold the request if all their capacity were free.
+[[nodiscard]] auto fits_when_idle(const gang_request& request, std::span<const gang_candidate> candidates)
     -> bool;
 
-/// The prompt's spans on these shares. The last share, where decoding happens, also has room for the answer.
-[[nodiscard]] auto spans_on(const gang_request& request, std::span<const wanted_share> shares)
+/// Returns the prompt's spans on these shares. The last share, at the decode engine, also includes the
+/// answer.
+[[nodiscard]] auto assign_spans(const gang_request& request, std::span<const planned_share> shares)
     -> std::vector<kv_span>;
 
 } // namespace dragonflymill
--- a/src/gang/gang_candidates.cpp
+++ b/src/gang/gang_candidates.cpp
@@ -11,7 +11,7 @@
     return static_cast<token_count>(static_cast<double>(whole) * share);
 }
 
-/// What gangs may ever take there: of its memory, and of what its sidecar lets in.
+/// Returns the tokens that gangs may hold at an upstream: a fraction of its memory and of `max_outstanding`.
 auto capacity_of(const upstream_description& description, double share) -> token_count
 {
     const auto memory = part_of(description.memory, share);
@@ -19,7 +19,7 @@
                                             : std::min(memory, part_of(description.max_outstanding, share));
 }
 
-/// What is free of that, by the sidecar's own word.
+/// Returns the free part of the capacity by the sidecar's last load report.
 auto free_of(const upstream_record& record, token_count capacity, double share) -> token_count
 {
     token_count free = std::min(capacity, record.memory_free());
@@ -41,8 +41,8 @@
             continue;
         }
         const auto capacity = capacity_of(description, share);
-        // A cold one is asked, too: its sidecar refuses what its ramp doesn't carry, and warms it up for what
-        // it had to refuse. Were it left out, a fleet with little else to do would never take a gang.
+        // A cold upstream is a candidate, too: its sidecar refuses a share above the present allowance and
+        // then sends warm-up requests. Otherwise an idle fleet would stay cold and never accept a gang.
         const bool usable = record.takes_new_work() && record.state() == upstream_state::alive;
         const token_count free = usable ? free_of(record, capacity, share) : 0;
         candidates.push_back({description.id, description.failure_domain, capacity, free});
@@ -59,7 +59,7 @@
         if (!record.serves(model, adapter)) {
             continue;
         }
-        // A sidecar keeps a part of what it lets in for shorter requests, so no single one may take it all.
+        // A sidecar reserves a part of its allowance for shorter requests, so no request may use all of it.
         const bool bounded = description.max_outstanding != 0;
         const auto most = bounded ? std::min(description.memory, part_of(description.max_outstanding, share))
                                   : description.memory;
--- a/src/gang/gang_planner.cpp
+++ b/src/gang/gang_planner.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr int renewals_a_hold = 3;
-constexpr std::uint64_t most_doublings = 16;
+constexpr int renewals_per_hold = 3;
+constexpr std::uint64_t max_doublings = 16;
 
 auto key_of(const gang_request& request, attempt_number round) -> gang_key
 {
@@ -29,9 +29,9 @@
 auto gang_planner::start(instant now, const gang_request& request, attempt_number first_round,
                          const deadline_budget& limit, std::span<const gang_candidate> candidates) -> outputs
 {
-    outputs out = finish(now, request.request); // an earlier try at the same request gives its shares back
+    outputs out = finish(now, request.request); // releases the shares of an earlier attempt at the request
     const gang_key key = key_of(request, first_round);
-    if (!could_ever_hold(request, candidates)) {
+    if (!fits_when_idle(request, candidates)) {
         const refusal why{refusal_code::too_large, ran_state::no, duration::zero(), "send a shorter prompt"};
         out.emplace_back(gang_failed{key, why});
         return out;
@@ -51,24 +51,25 @@
 auto gang_planner::step(instant now, const share_granted& granted) -> outputs
 {
     outputs out;
-    gang* each = find(granted.gang);
-    share* of = each == nullptr ? nullptr : share_of(*each, granted.upstream);
-    if (of == nullptr || of->ask == 0) {
-        // A grant that comes after its round was given up. Without this it would stand until its hold ends.
+    gang* entry = find(granted.gang);
+    share* member = entry == nullptr ? nullptr : share_of(*entry, granted.upstream);
+    if (member == nullptr || member->ask == 0) {
+        // A grant that arrives after its round ended. Without a release the share would be held until
+        // it expires.
         add_release(now, granted.gang, granted.upstream, out);
         return out;
     }
-    if (granted.ask != of->ask) {
-        return out; // the grant before a renewal, late: the share may have ended since
+    if (granted.ask != member->ask) {
+        return out; // a late grant from before a renewal: the share may have ended since
     }
-    if (of->held) {
-        of->ends_at = of->asked_at + settings_.hold;
+    if (member->held) {
+        member->ends_at = member->asked_at + settings_.hold;
         return out;
     }
-    of->held = true;
-    of->lease = granted.lease;
-    of->ends_at = of->asked_at + settings_.hold;
-    ask_next(now, *each, out);
+    member->held = true;
+    member->lease = granted.lease;
+    member->ends_at = member->asked_at + settings_.hold;
+    reserve_next(now, *entry, out);
     drop_ended();
     return out;
 }
@@ -76,21 +77,21 @@
 auto gang_planner::step(instant now, const share_refused& refused) -> outputs
 {
     outputs out;
-    gang* each = find(refused.gang);
-    share* of = each == nullptr ? nullptr : share_of(*each, refused.upstream);
-    if (of == nullptr || of->ask == 0) {
+    gang* entry = find(refused.gang);
+    share* member = entry == nullptr ? nullptr : share_of(*entry, refused.upstream);
+    if (member == nullptr || member->ask == 0) {
         return out;
     }
-    if (each->state == phase::ready) {
-        lost(now, *each, out);
+    if (entry->state == phase::ready) {
+        fail_lost_gang(now, *entry, out);
     }
-    else if (refused.in_line && !of->held && now < of->first_asked_at + settings_.line_wait) {
-        of->in_line = true;
+    else if (refused.in_line && !member->held && now < member->first_asked_at + settings_.queue_timeout) {
+        member->in_line = true;
     }
     else {
-        // Its word on free memory was old: another gang has it. The next round looks elsewhere first.
-        each->avoided.push_back(refused.upstream);
-        round_failed(now, *each, refused.retry_after, out);
+        // The load report was outdated: another gang holds the memory. The next round tries other upstreams.
+        entry->excluded.push_back(refused.upstream);
+        round_failed(now, *entry, refused.retry_after, out);
     }
     drop_ended();
     return out;
@@ -98,24 +99,24 @@
 
 void gang_planner::step(instant /*now*/, const share_released& released)
 {
-    std::erase_if(releases_, [&released](const pending_release& each) {
-        return each.release.gang == released.gang && each.release.upstream == released.upstream;
+    std::erase_if(releases_, [&released](const pending_release& entry) {
+        return entry.release.gang == released.gang && entry.release.upstream == released.upstream;
     });
 }
 
 auto gang_planner::upstream_gone(instant now, const upstream_id& upstream) -> outputs
 {
     outputs out;
-    for (auto& each : gangs_) {
-        const share* of = share_of(each, upstream);
-        if (of == nullptr || of->ask == 0) {
+    for (auto& entry : gangs_) {
+        const share* member = share_of(entry, upstream);
+        if (member == nullptr || member->ask == 0) {
             continue;
         }
-        if (each.state == phase::ready) {
-            lost(now, each, out);
+        if (entry.state == phase::ready) {
+            fail_lost_gang(now, entry, out);
         }
         else {
-            round_failed(now, each, duration::zero(), out);
+            round_failed(now, entry, duration::zero(), out);
         }
     }
     drop_ended();
@@ -125,10 +126,10 @@
 auto gang_planner::finish(instant now, const request_id& request) -> outputs
 {
     outputs out;
-    for (auto& each : gangs_) {
-        if (each.request.request == request) {
-            give_back(now, each, out);
-            ended_.push_back(key_of(each.request, each.round));
+    for (auto& entry : gangs_) {
+        if (entry.request.request == request) {
+            release_shares(now, entry, out);
+            ended_.push_back(key_of(entry.request, entry.round));
         }
     }
     drop_ended();
@@ -139,8 +140,8 @@
 {
     outputs out;
     repeat_releases(now, out);
-    for (auto& each : gangs_) {
-        wake_one(now, each, candidates, out);
+    for (auto& entry : gangs_) {
+        wake_one(now, entry, candidates, out);
     }
     drop_ended();
     return out;
@@ -150,122 +151,125 @@
 {
     std::optional<instant> first;
     const auto consider = [&first](instant at) { first = first ? std::min(*first, at) : at; };
-    for (const auto& each : gangs_) {
-        consider(wake_of(each));
+    for (const auto& entry : gangs_) {
+        consider(wake_of(entry));
     }
-    for (const auto& each : releases_) {
-        consider(each.send_at);
+    for (const auto& entry : releases_) {
+        consider(entry.send_at);
     }
     return first;
 }
 
 auto gang_planner::find(const gang_key& key) -> gang*
 {
-    const auto same = [&key](const gang& each) { return key_of(each.request, each.round) == key; };
+    const auto same = [&key](const gang& entry) { return key_of(entry.request, entry.round) == key; };
     const auto found = std::find_if(gangs_.begin(), gangs_.end(), same);
     return found == gangs_.end() ? nullptr : &*found;
 }
 
-auto gang_planner::share_of(gang& of, const upstream_id& upstream) const -> share*
+auto gang_planner::share_of(gang& owner, const upstream_id& upstream) const -> share*
 {
-    const auto same = [&upstream](const share& each) { return each.wanted.upstream == upstream; };
-    const auto found = std::find_if(of.shares.begin(), of.shares.end(), same);
-    return found == of.shares.end() ? nullptr : &*found;
+    const auto same = [&upstream](const share& entry) { return entry.wanted.upstream == upstream; };
+    const auto found = std::find_if(owner.shares.begin(), owner.shares.end(), same);
+    return found == owner.shares.end() ? nullptr : &*found;
 }
 
-void gang_planner::begin_round(instant now, gang& each, std::span<const gang_candidate> candidates,
+void gang_planner::begin_round(instant now, gang& entry, std::span<const gang_candidate> candidates,
                                outputs& out)
 {
-    const auto wanted = plan_round(each, candidates);
+    const auto wanted = plan_round(entry, candidates);
     if (!wanted) {
-        round_failed(now, each, duration::zero(), out);
+        round_failed(now, entry, duration::zero(), out);
         return;
     }
-    each.shares.clear();
+    entry.shares.clear();
     for (const auto& share_wanted : *wanted) {
-        each.shares.push_back({share_wanted, lease_id(), now, now, now, 0, false, false});
+        entry.shares.push_back({share_wanted, lease_id(), now, now, now, 0, false, false});
     }
-    each.next = 0;
-    each.state = phase::reserving;
-    ask_next(now, each, out);
+    entry.next = 0;
+    entry.state = phase::reserving;
+    reserve_next(now, entry, out);
 }
 
-auto gang_planner::plan_round(gang& each, std::span<const gang_candidate> candidates) const
-    -> std::optional<std::vector<wanted_share>>
+auto gang_planner::plan_round(gang& entry, std::span<const gang_candidate> candidates) const
+    -> std::optional<std::vector<planned_share>>
 {
-    std::vector<gang_candidate> open(candidates.begin(), candidates.end());
-    std::erase_if(open, [&each](const gang_candidate& candidate) {
-        return std::find(each.avoided.begin(), each.avoided.end(), candidate.upstream) != each.avoided.end();
+    std::vector<gang_candidate> eligible(candidates.begin(), candidates.end());
+    std::erase_if(eligible, [&entry](const gang_candidate& candidate) {
+        return std::find(entry.excluded.begin(), entry.excluded.end(), candidate.upstream) !=
+               entry.excluded.end();
     });
-    auto now_free = plan_shares(each.request, open);
-    auto in_line = plan_shares(each.request, open, share_basis::capacity);
-    // Many small shares keep many engines' memory for one prompt; a few that are waited for keep few. Every
-    // other round takes what is free all the same, since a sidecar may keep no line.
-    const bool many = now_free && in_line && now_free->size() > in_line->size();
-    if (in_line && (!now_free || (many && each.failures % 2 == 0))) {
-        return in_line;
+    auto now_free = plan_shares(entry.request, eligible);
+    auto queued = plan_shares(entry.request, eligible, share_basis::capacity);
+    // Many small shares occupy memory of many engines for one prompt; a few queued ones occupy few engines.
+    // Every other round uses the free memory all the same, since a sidecar may not reserve memory for a
+    // queued share.
+    const bool more_shares = now_free && queued && now_free->size() > queued->size();
+    if (queued && (!now_free || (more_shares && entry.failures % 2 == 0))) {
+        return queued;
     }
     if (now_free) {
         return now_free;
     }
-    each.avoided.clear();
-    return plan_shares(each.request, candidates);
+    entry.excluded.clear();
+    return plan_shares(entry.request, candidates);
 }
 
-void gang_planner::ask(instant now, gang& each, outputs& out) const
+void gang_planner::reserve(instant now, gang& entry, outputs& out) const
 {
-    share& of = each.shares[each.next];
-    ++of.ask;
-    of.asked_at = now;
-    of.in_line = false;
-    const gang_key key = key_of(each.request, each.round);
-    out.emplace_back(reserve_share{key, of.wanted.upstream, of.wanted.tokens, settings_.hold, of.ask});
+    share& member = entry.shares[entry.next];
+    ++member.ask;
+    member.asked_at = now;
+    member.in_line = false;
+    const gang_key key = key_of(entry.request, entry.round);
+    out.emplace_back(
+        reserve_share{key, member.wanted.upstream, member.wanted.tokens, settings_.hold, member.ask});
 }
 
-void gang_planner::ask_next(instant now, gang& each, outputs& out)
+void gang_planner::reserve_next(instant now, gang& entry, outputs& out)
 {
-    const auto ended = [now](const share& of) { return of.held && of.ends_at <= now; };
-    if (std::any_of(each.shares.begin(), each.shares.end(), ended)) {
-        round_failed(now, each, duration::zero(), out); // this process was paused while its shares ended
+    const auto ended = [now](const share& member) { return member.held && member.ends_at <= now; };
+    if (std::any_of(entry.shares.begin(), entry.shares.end(), ended)) {
+        round_failed(now, entry, duration::zero(), out); // this process was paused while its shares expired
         return;
     }
-    while (each.next < each.shares.size() && each.shares[each.next].held) {
-        ++each.next;
+    while (entry.next < entry.shares.size() && entry.shares[entry.next].held) {
+        ++entry.next;
     }
-    if (each.next < each.shares.size()) {
-        each.shares[each.next].first_asked_at = now;
-        ask(now, each, out);
+    if (entry.next < entry.shares.size()) {
+        entry.shares[entry.next].first_asked_at = now;
+        reserve(now, entry, out);
         return;
     }
-    std::vector<wanted_share> wanted;
-    wanted.reserve(each.shares.size());
-    for (const auto& of : each.shares) {
-        wanted.push_back(of.wanted);
+    std::vector<planned_share> wanted;
+    wanted.reserve(entry.shares.size());
+    for (const auto& member : entry.shares) {
+        wanted.push_back(member.wanted);
     }
-    gang_ready ready{key_of(each.request, each.round), spans_on(each.request, wanted)};
+    gang_ready ready{key_of(entry.request, entry.round), assign_spans(entry.request, wanted)};
     for (std::size_t i = 0; i < ready.spans.size(); ++i) {
-        ready.spans[i].lease = each.shares[i].lease;
+        ready.spans[i].lease = entry.shares[i].lease;
     }
-    DRAGONFLYMILL_ASSERT(ready.spans.back().end == each.request.prompt_tokens, "spans must cover the prompt");
-    each.state = phase::ready;
+    DRAGONFLYMILL_ASSERT(ready.spans.back().end == entry.request.prompt_tokens,
+                         "spans must cover the prompt");
+    entry.state = phase::ready;
     out.emplace_back(std::move(ready));
 }
 
-void gang_planner::give_back(instant now, gang& each, outputs& out)
+void gang_planner::release_shares(instant now, gang& entry, outputs& out)
 {
-    // Guards against memory that stays taken when a gang can't be had whole: other long prompts would be
-    // refused by engines that hold nothing of use. It holds because every share ever asked for is released,
-    // also one whose answer is still under way, and the release is repeated until it is confirmed or the hold
-    // has ended.
+    // Guards against memory that stays reserved when not all shares of a gang are granted: engines would
+    // refuse other long prompts for unused memory. Every requested share is released, including those with an
+    // answer outstanding, and the release is repeated until it is confirmed or the hold has expired.
     if (guard_holds(guard::gang_release)) {
-        for (const auto& of : each.shares) {
-            if (of.ask != 0) {
-                add_release(now, key_of(each.request, each.round), of.wanted.upstream, out);
+        for (const auto& member : entry.shares) {
+            if (member.ask != 0) {
+                add_release(now, key_of(entry.request, entry.round), member.wanted.upstream, out);
             }
         }
     }
-    each.shares.clear();
-    each.state = phase::waiting;
+    entry.shares.clear();
+    entry.state = phase::waiting;
 }
 
 void gang_planner::add_release(instant now, const gang_key& key, const upstream_id& upstream, outputs& out)
@@ -275,9 +279,9 @@
         return;
     }
     out.emplace_back(release);
-    const auto same = [&release](const pending_release& each) { return each.release == release; };
+    const auto same = [&release](const pending_release& entry) { return entry.release == release; };
     const auto found = std::find_if(releases_.begin(), releases_.end(), same);
-    const instant ended_at = now + settings_.hold + settings_.answer_wait;
+    const instant ended_at = now + settings_.hold + settings_.answer_timeout;
     if (found != releases_.end()) {
         found->ended_at = ended_at;
     }
@@ -286,133 +290,137 @@
     }
 }
 
-void gang_planner::round_failed(instant now, gang& each, duration retry_after, outputs& out)
+void gang_planner::round_failed(instant now, gang& entry, duration retry_after, outputs& out)
 {
-    give_back(now, each, out);
-    ++each.failures;
-    const duration wait = std::max(retry_after, backoff(each));
-    if (each.limit.remaining(now) <= wait) {
-        fail(now, each, {refusal_code::overloaded, ran_state::no, wait, "send it again after the time given"},
-             out);
+    release_shares(now, entry, out);
+    ++entry.failures;
+    const duration wait = std::max(retry_after, backoff(entry));
+    if (entry.limit.remaining(now) <= wait) {
+        fail(now, entry,
+             {refusal_code::overloaded, ran_state::no, wait, "send it again after the time given"}, out);
         return;
     }
-    each.round = attempt_number(each.round.value() + 1);
-    each.wake_at = now + wait;
+    entry.round = attempt_number(entry.round.value() + 1);
+    entry.wake_at = now + wait;
 }
 
-void gang_planner::fail(instant now, gang& each, refusal why, outputs& out)
+void gang_planner::fail(instant now, gang& entry, refusal why, outputs& out)
 {
-    give_back(now, each, out);
-    const gang_key key = key_of(each.request, each.round);
+    release_shares(now, entry, out);
+    const gang_key key = key_of(entry.request, entry.round);
     out.emplace_back(gang_failed{key, std::move(why)});
     ended_.push_back(key);
 }
 
-void gang_planner::lost(instant now, gang& each, outputs& out)
+void gang_planner::fail_lost_gang(instant now, gang& entry, outputs& out)
 {
-    fail(now, each,
+    fail(now, entry,
          {refusal_code::upstream_gone, ran_state::unknown, settings_.initial_backoff,
           "the request can be resumed"},
          out);
 }
 
-void gang_planner::wake_one(instant now, gang& each, std::span<const gang_candidate> candidates, outputs& out)
+void gang_planner::wake_one(instant now, gang& entry, std::span<const gang_candidate> candidates,
+                            outputs& out)
 {
-    if (now < wake_of(each)) {
+    if (now < wake_of(entry)) {
         return;
     }
-    if (each.limit.expired(now)) {
-        const ran_state ran = each.state == phase::ready ? ran_state::unknown : ran_state::no;
-        fail(now, each, {refusal_code::deadline, ran, duration::zero(), "allow more time"}, out);
+    if (entry.limit.expired(now)) {
+        const ran_state ran = entry.state == phase::ready ? ran_state::unknown : ran_state::no;
+        fail(now, entry, {refusal_code::deadline, ran, duration::zero(), "allow more time"}, out);
         return;
     }
-    switch (each.state) {
+    switch (entry.state) {
     case phase::waiting:
-        begin_round(now, each, candidates, out);
+        begin_round(now, entry, candidates, out);
         break;
     case phase::reserving:
-        wake_reserving(now, each, out);
+        wake_reserving(now, entry, out);
         break;
     case phase::ready:
-        renew(now, each, out);
+        renew(now, entry, out);
         break;
     }
-    const auto ended = [now](const share& of) { return of.held && of.ends_at <= now; };
-    if (each.state == phase::ready && std::any_of(each.shares.begin(), each.shares.end(), ended)) {
-        lost(now, each, out);
+    const auto ended = [now](const share& member) { return member.held && member.ends_at <= now; };
+    if (entry.state == phase::ready && std::any_of(entry.shares.begin(), entry.shares.end(), ended)) {
+        fail_lost_gang(now, entry, out);
     }
 }
 
-void gang_planner::wake_reserving(instant now, gang& each, outputs& out)
+void gang_planner::wake_reserving(instant now, gang& entry, outputs& out)
 {
-    const share& of = each.shares[each.next];
+    const share& member = entry.shares[entry.next];
     const auto ended = [now](const share& other) { return other.held && other.ends_at <= now; };
-    const bool unanswered = !of.in_line && now >= of.asked_at + settings_.answer_wait;
-    if (unanswered || std::any_of(each.shares.begin(), each.shares.end(), ended)) {
-        round_failed(now, each, duration::zero(),
-                     out); // the unanswered one may have been granted all the same
+    const bool unanswered = !member.in_line && now >= member.asked_at + settings_.answer_timeout;
+    if (unanswered || std::any_of(entry.shares.begin(), entry.shares.end(), ended)) {
+        // The unanswered share may have been granted, so it is released as well.
+        round_failed(now, entry, duration::zero(), out);
         return;
     }
-    renew(now, each, out);
-    if (of.in_line && now >= of.asked_at + settings_.answer_wait) {
-        ask(now, each, out);
+    renew(now, entry, out);
+    if (member.in_line && now >= member.asked_at + settings_.answer_timeout) {
+        reserve(now, entry, out);
     }
 }
 
-void gang_planner::renew(instant now, gang& each, outputs& out) const
+void gang_planner::renew(instant now, gang& entry, outputs& out) const
 {
-    for (auto& of : each.shares) {
-        if (of.held && now - of.asked_at >= settings_.hold / renewals_a_hold && of.ends_at > now) {
-            of.asked_at = now;
-            ++of.ask;
-            const gang_key key = key_of(each.request, each.round);
-            out.emplace_back(renew_share{key, of.wanted.upstream, of.lease, settings_.hold, of.ask});
+    for (auto& member : entry.shares) {
+        if (member.held && now - member.asked_at >= settings_.hold / renewals_per_hold &&
+            member.ends_at > now) {
+            member.asked_at = now;
+            ++member.ask;
+            const gang_key key = key_of(entry.request, entry.round);
+            out.emplace_back(
+                renew_share{key, member.wanted.upstream, member.lease, settings_.hold, member.ask});
         }
     }
 }
 
 void gang_planner::repeat_releases(instant now, outputs& out)
 {
-    std::erase_if(releases_, [now](const pending_release& each) { return each.ended_at <= now; });
-    for (auto& each : releases_) {
-        if (each.send_at <= now) {
-            each.send_at = now + settings_.release_interval;
-            out.emplace_back(each.release);
+    std::erase_if(releases_, [now](const pending_release& entry) { return entry.ended_at <= now; });
+    for (auto& entry : releases_) {
+        if (entry.send_at <= now) {
+            entry.send_at = now + settings_.release_interval;
+            out.emplace_back(entry.release);
         }
     }
 }
 
-auto gang_planner::wake_of(const gang& each) const -> instant
+auto gang_planner::wake_of(const gang& entry) const -> instant
 {
-    instant at = each.limit.end();
-    if (each.state == phase::waiting) {
-        at = std::min(at, each.wake_at);
+    instant at = entry.limit.end();
+    if (entry.state == phase::waiting) {
+        at = std::min(at, entry.wake_at);
     }
-    else if (each.state == phase::reserving) {
-        at = std::min(at, each.shares[each.next].asked_at + settings_.answer_wait);
+    else if (entry.state == phase::reserving) {
+        at = std::min(at, entry.shares[entry.next].asked_at + settings_.answer_timeout);
     }
-    for (const auto& of : each.shares) {
-        if (of.held) {
-            at = std::min({at, of.asked_at + settings_.hold / renewals_a_hold, of.ends_at});
+    for (const auto& member : entry.shares) {
+        if (member.held) {
+            at = std::min({at, member.asked_at + settings_.hold / renewals_per_hold, member.ends_at});
         }
     }
     return at;
 }
 
-auto gang_planner::backoff(const gang& each) -> duration
+auto gang_planner::backoff(const gang& entry) -> duration
 {
-    const std::uint64_t doublings = std::min(each.failures - 1, most_doublings);
+    const std::uint64_t doublings = std::min(entry.failures - 1, max_doublings);
     const auto longest = static_cast<double>(settings_.max_backoff.count());
     const double grown =
         static_cast<double>(settings_.initial_backoff.count()) * static_cast<double>(1ULL << doublings);
-    // A random half keeps planners that refused each other from meeting again.
+    // A random half keeps planners that blocked each other from colliding again.
     return duration(static_cast<duration::rep>(std::min(grown, longest) * (0.5 + 0.5 * random_.unit())));
 }
 
 void gang_planner::drop_ended()
 {
     for (const auto& key : ended_) {
-        std::erase_if(gangs_, [&key](const gang& each) { return key_of(each.request, each.round) == key; });
+        std::erase_if(gangs_,
+                      [&key](const gang& entry) { return key_of(entry.request, entry.round) == key; });
     }
     ended_.clear();
 }
--- a/src/gang/span_plan.cpp
+++ b/src/gang/span_plan.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-auto room_of(const gang_candidate& candidate, share_basis basis) -> token_count
+auto usable_memory(const gang_candidate& candidate, share_basis basis) -> token_count
 {
-    const bool waits =
-        basis == share_basis::capacity && candidate.free > 0; // one that takes nothing keeps no line
-    return waits ? candidate.capacity : candidate.free;
+    // An upstream that accepts no work reserves no memory for a queued share.
+    const bool queued = basis == share_basis::capacity && candidate.free > 0;
+    return queued ? candidate.capacity : candidate.free;
 }
 
 auto total_of(const gang_request& request) -> token_count
@@ -22,8 +22,8 @@
     return request.prompt_tokens + request.max_tokens;
 }
 
-/// Fewest of `members` that hold `total`; empty if all of them don't. Those with most room come first, and
-/// among equals a hash of the request decides, so that gangs spread.
+/// Returns the fewest of `members` that hold the request; empty if all together can't. Members with most free
+/// memory come first, and a hash of the request breaks ties, so that gangs are spread.
 auto fewest_that_hold(const gang_request& request, std::vector<gang_candidate> members, share_basis basis)
     -> std::vector<gang_candidate>
 {
@@ -35,7 +35,7 @@
               [&rank](const auto& a, const auto& b) { return rank(a) < rank(b); });
     token_count sum = 0;
     for (std::size_t i = 0; i < members.size(); ++i) {
-        sum += room_of(members[i], basis);
+        sum += usable_memory(members[i], basis);
         if (sum >= total_of(request)) {
             members.resize(i + 1);
             return members;
@@ -67,18 +67,19 @@
     return best.empty() ? fewest_that_hold(request, {candidates.begin(), candidates.end()}, basis) : best;
 }
 
-/// Splits `total` into nearly equal parts that each fit.
+/// Splits `total` into nearly equal parts that each fit the member.
 auto split(token_count total, std::vector<gang_candidate> members, share_basis basis)
-    -> std::vector<wanted_share>
+    -> std::vector<planned_share>
 {
-    std::sort(members.begin(), members.end(),
-              [basis](const auto& a, const auto& b) { return room_of(a, basis) < room_of(b, basis); });
-    std::vector<wanted_share> shares;
+    std::sort(members.begin(), members.end(), [basis](const auto& a, const auto& b) {
+        return usable_memory(a, basis) < usable_memory(b, basis);
+    });
+    std::vector<planned_share> shares;
     shares.reserve(members.size());
     token_count left = total;
     for (std::size_t i = 0; i < members.size(); ++i) {
         const auto others = static_cast<token_count>(members.size() - i);
-        const token_count part = std::min(room_of(members[i], basis), (left + others - 1) / others);
+        const token_count part = std::min(usable_memory(members[i], basis), (left + others - 1) / others);
         shares.push_back({members[i].upstream, part});
         left -= part;
     }
@@ -88,7 +89,7 @@
 } // namespace
 
 auto plan_shares(const gang_request& request, std::span<const gang_candidate> candidates, share_basis basis)
-    -> std::optional<std::vector<wanted_share>>
+    -> std::optional<std::vector<planned_share>>
 {
     const auto members = choose_members(request, candidates, basis);
     if (members.empty()) {
@@ -100,7 +101,7 @@
     return shares;
 }
 
-auto could_ever_hold(const gang_request& request, std::span<const gang_candidate> candidates) -> bool
+auto fits_when_idle(const gang_request& request, std::span<const gang_candidate> candidates) -> bool
 {
     token_count sum = 0;
     for (const auto& each : candidates) {
@@ -109,7 +110,7 @@
     return sum >= total_of(request);
 }
 
-auto spans_on(const gang_request& request, std::span<const wanted_share> shares) -> std::vector<kv_span>
+auto assign_spans(const gang_request& request, std::span<const planned_share> shares) -> std::vector<kv_span>
 {
     std::vector<kv_span> spans;
     spans.reserve(shares.size());
--- a/tests/gang/fake_share_holder.h
+++ b/tests/gang/fake_share_holder.h
@@ -10,42 +10,42 @@
 
 namespace dragonflymill::test {
 
-/// What a share holder answers.
+/// Answer of a share holder.
 using share_answer = std::variant<share_granted, share_refused, share_released>;
 
-/// The part of a sidecar that holds gang shares: it grants within its capacity, idempotently, and ends what
-/// is not renewed.
+/// Fake of the part of a sidecar that holds gang shares: it grants shares idempotently within its capacity
+/// and expires those that are not renewed.
 class fake_share_holder
 {
 public:
-    /// Holds at most `capacity` tokens for gangs.
+    /// Creates a holder with a capacity of `capacity` tokens.
     explicit fake_share_holder(token_count capacity)
         : capacity_(capacity)
     {
     }
 
-    /// Reserves, or repeats the grant of a share that stands.
+    /// Reserves a share, or repeats the grant of one that is held.
     auto step(instant now, const reserve_share& wanted) -> share_answer
     {
         expire(now);
         const auto found = shares_.find(wanted.gang);
-        const bool others_turn = line_ && line_->gang != wanted.gang;
-        if (found == shares_.end() && (others_turn || used() + prompts_ + wanted.tokens > capacity_)) {
-            // A line is for what is about to end; gangs in the way may stay for long.
-            const bool in_line = !others_turn && used() + wanted.tokens <= capacity_;
+        const bool reserved_for_other = reservation_ && reservation_->gang != wanted.gang;
+        if (found == shares_.end() && (reserved_for_other || used() + prompts_ + wanted.tokens > capacity_)) {
+            // A share is queued only behind other prompts, which end soon; other gangs may run for long.
+            const bool in_line = !reserved_for_other && used() + wanted.tokens <= capacity_;
             if (in_line) {
-                line_ = place_in_line{wanted.gang, now + wanted.hold};
+                reservation_ = reservation{wanted.gang, now + wanted.hold};
             }
             return share_refused{wanted.gang, wanted.upstream, duration::zero(), in_line};
         }
         if (found == shares_.end()) {
-            line_.reset();
+            reservation_.reset();
             shares_[wanted.gang] = {lease_id(++last_lease_), wanted.tokens, now + wanted.hold};
         }
         return share_granted{wanted.gang, wanted.upstream, shares_[wanted.gang].lease, wanted.ask};
     }
 
-    /// Renews a share that stands.
+    /// Renews a share that is held.
     auto step(instant now, const renew_share& wanted) -> share_answer
     {
         expire(now);
@@ -57,36 +57,39 @@
         return share_granted{wanted.gang, wanted.upstream, wanted.lease, wanted.ask};
     }
 
-    /// Ends a share, if it is there.
+    /// Releases a share, if it is held.
     auto step(instant /*now*/, const release_share& wanted) -> share_answer
     {
         shares_.erase(wanted.gang);
-        if (line_ && line_->gang == wanted.gang) {
-            line_.reset();
+        if (reservation_ && reservation_->gang == wanted.gang) {
+            reservation_.reset();
         }
         return share_released{wanted.gang, wanted.upstream};
     }
 
-    /// Ends what was not renewed in time.
+    /// Drops the shares that were not renewed in time.
     void expire(instant now)
     {
         std::erase_if(shares_, [now](const auto& each) { return each.second.ends_at <= now; });
-        if (line_ && line_->ends_at <= now) {
-            line_.reset();
+        if (reservation_ && reservation_->ends_at <= now) {
+            reservation_.reset();
         }
     }
 
-    /// Loses everything: the engine died and came back.
+    /// Drops all shares, as a restart of the engine does.
     void restart()
     {
         shares_.clear();
-        line_.reset();
+        reservation_.reset();
     }
 
-    /// Other prompts take so much memory; none begin while a gang waits in line.
-    void hold_prompts(token_count tokens) { prompts_ = line_ ? std::min(prompts_, tokens) : tokens; }
+    /// Sets the memory used by other prompts; it doesn't grow while a gang share is queued.
+    void set_prompt_memory(token_count tokens)
+    {
+        prompts_ = reservation_ ? std::min(prompts_, tokens) : tokens;
+    }
 
-    /// Tokens held for gangs.
+    /// Returns the tokens held for gangs.
     [[nodiscard]] auto used() const -> token_count
     {
         token_count sum = 0;
@@ -96,14 +99,14 @@
         return sum;
     }
 
-    /// Whether a share of this round stands under this lease.
+    /// Returns whether a share of this round is held under this lease.
     [[nodiscard]] auto holds(const gang_key& key, lease_id lease) const -> bool
     {
         const auto found = shares_.find(key);
         return found != shares_.end() && found->second.lease == lease;
     }
 
-    /// Tokens that gangs may take.
+    /// Returns the tokens that gangs may use.
     [[nodiscard]] auto capacity() const -> token_count { return capacity_; }
 
 private:
@@ -114,7 +117,7 @@
         instant ends_at;
     };
 
-    struct place_in_line
+    struct reservation
     {
         gang_key gang;
         instant ends_at;
@@ -122,7 +125,7 @@
 
     token_count capacity_;
     token_count prompts_ = 0;
-    std::optional<place_in_line> line_;
+    std::optional<reservation> reservation_;
     std::uint64_t last_lease_ = 0;
     std::map<gang_key, share> shares_;
 };
--- a/tests/gang/gang_planner_test.cpp
+++ b/tests/gang/gang_planner_test.cpp
@@ -11,17 +11,17 @@
 namespace {
 
 constexpr instant now(100s);
-constexpr token_count engine_room = 400'000;
-const gang_request million{request_id("dossier"), 1'000'000, 2'000};
+constexpr token_count engine_capacity = 400'000;
+const gang_request large_request{request_id("dossier"), 1'000'000, 2'000};
 const deadline_budget minute(now, 60s);
 const attempt_number first(1);
 
-auto candidates(std::size_t count, token_count free = engine_room) -> std::vector<gang_candidate>
+auto candidates(std::size_t count, token_count free = engine_capacity) -> std::vector<gang_candidate>
 {
     std::vector<gang_candidate> made;
     for (std::size_t i = 0; i < count; ++i) {
         const failure_domain_id domain(std::string(1, static_cast<char>('a' + i % 3)));
-        made.push_back({upstream_id("u" + std::to_string(i)), domain, engine_room, free});
+        made.push_back({upstream_id("u" + std::to_string(i)), domain, engine_capacity, free});
     }
     return made;
 }
@@ -50,7 +50,7 @@
     return {asked.gang, asked.upstream, lease_id(1), asked.ask};
 }
 
-/// Grants every share of a gang that was just started; the last outputs.
+/// Grants every share of a gang that was just started and returns the last outputs.
 auto grant_all(gang_planner& planner, std::vector<gang_output> outputs) -> std::vector<gang_output>
 {
     while (outputs.size() == 1 && std::holds_alternative<reserve_share>(outputs.front())) {
@@ -61,9 +61,9 @@
 
 } // namespace
 
-Test(span_plan, takes_the_fewest_engines_of_one_failure_domain_in_global_order)
+Test(span_plan, plans_fewest_shares_in_one_failure_domain_in_global_order)
 {
-    const auto shares = plan_shares(million, candidates(9));
+    const auto shares = plan_shares(large_request, candidates(9));
     cr_assert(shares.has_value() and shares->size() == 3);
     cr_assert(std::is_sorted(shares->begin(), shares->end(),
                              [](const auto& a, const auto& b) { return a.upstream < b.upstream; }));
@@ -71,28 +71,29 @@
     for (const auto& share : *shares) {
         const auto of =
             std::find_if(all.begin(), all.end(), [&](const auto& c) { return c.upstream == share.upstream; });
-        cr_assert(share.tokens <= engine_room);
+        cr_assert(share.tokens <= engine_capacity);
         cr_assert(of->failure_domain ==
                   all[std::size_t(std::stoi(shares->front().upstream.text().substr(1)))].failure_domain);
     }
-    cr_assert(plan_shares(million, candidates(3)).has_value(), "over several domains if no one has room");
-    cr_assert(not plan_shares(million, candidates(2)).has_value());
+    cr_assert(plan_shares(large_request, candidates(3)).has_value(),
+              "uses several domains if no single one has the capacity");
+    cr_assert(not plan_shares(large_request, candidates(2)).has_value());
 }
 
-Test(span_plan, spans_cover_the_prompt_and_leave_room_for_the_answer)
+Test(span_plan, spans_cover_the_prompt_and_leave_space_for_the_answer)
 {
-    const auto shares = *plan_shares(million, candidates(9));
-    const auto spans = spans_on(million, shares);
+    const auto shares = *plan_shares(large_request, candidates(9));
+    const auto spans = assign_spans(large_request, shares);
     token_count place = 0;
     for (std::size_t i = 0; i < spans.size(); ++i) {
         cr_assert(spans[i].begin == place and spans[i].end > place);
         place = spans[i].end;
     }
-    cr_assert(place == million.prompt_tokens);
-    cr_assert(shares.back().tokens >= spans.back().end - spans.back().begin + million.max_tokens);
+    cr_assert(place == large_request.prompt_tokens);
+    cr_assert(shares.back().tokens >= spans.back().end - spans.back().begin + large_request.max_tokens);
 }
 
-Test(gang_candidates, leave_out_what_is_reserved_for_short_requests_and_what_takes_nothing)
+Test(gang_candidates, exclude_short_request_upstreams_and_report_drained_ones_as_full)
 {
     upstream_table table;
     std::vector<upstream_description> upstreams(3);
@@ -111,10 +112,10 @@
     cr_assert(found[1].free == 0);
 }
 
-Test(gang_planner, asks_one_after_the_other_and_is_ready_with_all)
+Test(gang_planner, requests_shares_in_order_and_is_ready_with_all)
 {
     gang_planner planner(1);
-    auto outputs = planner.start(now, million, first, minute, candidates(9));
+    auto outputs = planner.start(now, large_request, first, minute, candidates(9));
     upstream_id last;
     for (int i = 0; i < 3; ++i) {
         const auto asked = only<reserve_share>(outputs);
@@ -123,7 +124,7 @@
         outputs = planner.step(now, grant(asked));
     }
     cr_assert(only<gang_ready>(outputs).spans.size() == 3);
-    const auto released = all_of<release_share>(planner.finish(now, million.request));
+    const auto released = all_of<release_share>(planner.finish(now, large_request.request));
     cr_assert(released.size() == 3);
     cr_assert(planner.gangs() == 0);
     for (const auto& each : released) {
@@ -132,33 +133,35 @@
     cr_assert(planner.releases() == 0 and not planner.next_wake().has_value());
 }
 
-Test(gang_planner, bounds_its_gangs_and_tells_too_large_from_no_room)
+Test(gang_planner, limits_gangs_and_distinguishes_too_large_from_no_capacity)
 {
     gang_planner planner(1);
-    gang_request request = million;
+    gang_request request = large_request;
     for (int i = 0; i < 4; ++i) {
         request.request = request_id(std::to_string(i));
         (void)planner.start(now, request, first, minute, candidates(9));
     }
-    const auto refused = only<gang_failed>(planner.start(now, million, first, minute, candidates(9)));
+    const auto refused = only<gang_failed>(planner.start(now, large_request, first, minute, candidates(9)));
     cr_assert(refused.why.code == refusal_code::overloaded and refused.why.ran == ran_state::no);
-    const auto never = only<gang_failed>(gang_planner(1).start(now, million, first, minute, candidates(2)));
+    const auto never =
+        only<gang_failed>(gang_planner(1).start(now, large_request, first, minute, candidates(2)));
     cr_assert(never.why.code == refusal_code::too_large);
-    cr_assert(gang_planner(1).start(now, million, first, minute, candidates(9, 0)).empty(), "waits for room");
+    cr_assert(gang_planner(1).start(now, large_request, first, minute, candidates(9, 0)).empty(),
+              "waits for free capacity");
 }
 
 FAULT_CELL(gang_reserve, two_faults)
 {
-    // A dossier check is refused while the engines are empty. One engine refuses the third share; the two
-    // granted ones are kept. Cause: a gang that is half taken; it must be given back at once and tried again
-    // as a new round.
+    // Guards against the refusal of large prompts while the engines are empty: one engine refuses the third
+    // share and the two granted ones stay reserved. All must be released at once and requested again in a new
+    // round.
     gang_planner planner(1);
-    auto asked = only<reserve_share>(planner.start(now, million, first, minute, candidates(9)));
+    auto asked = only<reserve_share>(planner.start(now, large_request, first, minute, candidates(9)));
     asked = only<reserve_share>(planner.step(now, grant(asked)));
     asked = only<reserve_share>(planner.step(now, grant(asked)));
     const auto outputs = planner.step(now, share_refused{asked.gang, asked.upstream, 1s, false});
     cr_assert(all_of<release_share>(outputs).size() == 3,
-              "also the one that refused: its answer may be a mix-up");
+              "the share that was refused has to be released, too");
     const auto again = only<reserve_share>([&] {
         auto later = planner.wake(now + 2s, candidates(9));
         std::erase_if(later, [](const auto& each) { return std::holds_alternative<release_share>(each); });
@@ -169,10 +172,10 @@
 
 FAULT_CELL(gang_reserve, message_lost)
 {
-    // An engine's memory stays taken though no gang uses it. Its grant is lost, the round is given up. Cause:
-    // a share without an answer is taken for one that was never granted; it is released too.
+    // Guards against memory that stays reserved for no gang. A grant is lost and the round ends; the
+    // unanswered share may have been granted, so it is released too.
     gang_planner planner(1);
-    const auto asked = only<reserve_share>(planner.start(now, million, first, minute, candidates(9)));
+    const auto asked = only<reserve_share>(planner.start(now, large_request, first, minute, candidates(9)));
     cr_assert(planner.next_wake() == now + 1s);
     const auto released = only<release_share>(planner.wake(now + 1s, candidates(9)));
     cr_assert(released.gang == asked.gang and released.upstream == asked.upstream);
@@ -180,10 +183,10 @@
 
 FAULT_CELL(gang_reserve, message_late)
 {
-    // As before, but the grant comes after the release was confirmed: the reservation was under way for long.
-    // Cause: a grant for a round that is no more; it is answered by another release.
+    // Guards against memory that stays reserved for no gang. A delayed reservation is granted after its
+    // release was confirmed; the grant for a round that has ended is answered by another release.
     gang_planner planner(1);
-    const auto asked = only<reserve_share>(planner.start(now, million, first, minute, candidates(9)));
+    const auto asked = only<reserve_share>(planner.start(now, large_request, first, minute, candidates(9)));
     (void)planner.wake(now + 1s, candidates(9));
     planner.step(now + 1s, share_released{asked.gang, asked.upstream});
     const auto released = only<release_share>(planner.step(now + 2s, grant(asked)));
@@ -193,10 +196,10 @@
 
 FAULT_CELL(gang_reserve, paused_wakes_late)
 {
-    // An answer is built on spans that the engines have dropped. The gateway is paused for longer than a hold
-    // between the first and the last grant. Cause: it believes in shares that have ended.
+    // Guards against an answer on spans that the engines have dropped. The gateway is paused for longer than
+    // a hold between the first and the last grant, so that its first shares have expired.
     gang_planner planner(1);
-    auto asked = only<reserve_share>(planner.start(now, million, first, minute, candidates(9)));
+    auto asked = only<reserve_share>(planner.start(now, large_request, first, minute, candidates(9)));
     asked = only<reserve_share>(planner.step(now, grant(asked)));
     const auto outputs = planner.step(now + 11s, grant(asked));
     cr_assert(all_of<gang_ready>(outputs).empty() and all_of<reserve_share>(outputs).empty());
@@ -205,9 +208,10 @@
 
 FAULT_CELL(gang_decode, paused_wakes_late)
 {
-    // As before, but the gang was ready, and the gateway wakes after its shares have ended: it may not go on.
+    // Guards against decoding on expired shares. The gateway of a ready gang is paused until its shares have
+    // expired.
     gang_planner planner(1);
-    (void)grant_all(planner, planner.start(now, million, first, minute, candidates(9)));
+    (void)grant_all(planner, planner.start(now, large_request, first, minute, candidates(9)));
     const auto outputs = planner.wake(now + 11s, candidates(9));
     cr_assert(all_of<gang_failed>(outputs).size() == 1);
     cr_assert(all_of<gang_failed>(outputs).front().why.ran == ran_state::unknown);
@@ -216,10 +220,10 @@
 
 FAULT_CELL(gang_decode, message_late)
 {
-    // A gang decodes on shares that have ended. Renewals are lost, and the grants of the reservation arrive a
-    // second time, late. Cause: an old grant passes for a renewal.
+    // Guards against decoding on expired shares. Renewals are lost, and a duplicated grant of the reservation
+    // arrives late; it must not count as a renewal.
     gang_planner planner(1);
-    const auto outputs = planner.start(now, million, first, minute, candidates(9));
+    const auto outputs = planner.start(now, large_request, first, minute, candidates(9));
     const auto asked = only<reserve_share>(outputs);
     (void)grant_all(planner, outputs);
     cr_assert(all_of<renew_share>(planner.wake(now + 4s, candidates(9))).size() == 3);
@@ -229,11 +233,11 @@
 
 FAULT_CELL(gang_decode, process_dies)
 {
-    // Two engines keep a dead gang's spans for good. The third dies while the gang decodes. Cause: the loss
-    // of one member must release the others and tell that the answer can be resumed.
+    // Guards against two engines that keep the spans of a failed gang. The third engine dies during decoding:
+    // its loss must release the other shares and report that the answer can be resumed.
     gang_planner planner(1);
     const auto ready =
-        only<gang_ready>(grant_all(planner, planner.start(now, million, first, minute, candidates(9))));
+        only<gang_ready>(grant_all(planner, planner.start(now, large_request, first, minute, candidates(9))));
     const auto outputs = planner.upstream_gone(now, ready.spans[1].upstream);
     cr_assert(all_of<release_share>(outputs).size() == 3);
     cr_assert(all_of<gang_failed>(outputs).front().why.code == refusal_code::upstream_gone);
@@ -242,11 +246,10 @@
 
 FAULT_CELL(gang_import, process_dies)
 {
-    // A dossier check fails while there is room elsewhere. An engine that was already granted dies before the
-    // gang is whole. Cause: the round is lost, not the request: the next one starts in time and without that
-    // engine.
+    // Guards against failing a request while there is capacity elsewhere. An engine with a granted share dies
+    // before all shares are held: only the round ends, and the next one starts without that engine.
     gang_planner planner(1);
-    const auto asked = only<reserve_share>(planner.start(now, million, first, minute, candidates(9)));
+    const auto asked = only<reserve_share>(planner.start(now, large_request, first, minute, candidates(9)));
     (void)planner.step(now, grant(asked));
     const auto outputs = planner.upstream_gone(now, asked.upstream);
     cr_assert(all_of<release_share>(outputs).size() == 2 and all_of<gang_failed>(outputs).empty());
@@ -258,12 +261,11 @@
 
 FAULT_CELL(gang_release, message_lost)
 {
-    // The largest prompts are refused for no reason until every engine is restarted. The release of a gang is
-    // lost. Cause: a release that is sent once; it is repeated until it is confirmed, or the hold has ended
-    // for sure.
+    // Guards against memory that stays reserved until the engine restarts. The release of a gang is lost; it
+    // is repeated until it is confirmed or the hold must have expired.
     gang_planner planner(1);
-    (void)grant_all(planner, planner.start(now, million, first, minute, candidates(9)));
-    cr_assert(all_of<release_share>(planner.finish(now, million.request)).size() == 3);
+    (void)grant_all(planner, planner.start(now, large_request, first, minute, candidates(9)));
+    cr_assert(all_of<release_share>(planner.finish(now, large_request.request)).size() == 3);
     cr_assert(all_of<release_share>(planner.wake(now + 500ms, {})).size() == 3);
     cr_assert(all_of<release_share>(planner.wake(now + 1s, {})).size() == 3);
     cr_assert(planner.wake(now + 11s, {}).empty() and planner.releases() == 0);
@@ -271,10 +273,10 @@
 
 FAULT_CELL(gang_reserve, same_twice)
 {
-    // A caller waits for ever for a gang. Round after round is refused. Cause: rounds without an end; the
-    // request ends in its limit, and the answer truly says that nothing was run.
+    // Guards against a request that waits without limit while round after round is refused. It fails within
+    // its deadline with ran `no`.
     gang_planner planner(1);
-    auto outputs = planner.start(now, million, first, minute, candidates(9));
+    auto outputs = planner.start(now, large_request, first, minute, candidates(9));
     instant time = now;
     int rounds = 0;
     while (all_of<gang_failed>(outputs).empty()) {
@@ -290,18 +292,17 @@
     }
     cr_assert(all_of<gang_failed>(outputs).front().why.ran == ran_state::no);
     cr_assert(time <= now + 60s);
-    // A wait is at least half of the longest backoff once it has grown, so a minute has no more rounds than
-    // this.
+    // A grown backoff is at least half of its maximum, which bounds the number of rounds in a minute.
     cr_assert(rounds > 5 and rounds < 130);
 }
 
 FAULT_CELL_MORE(gang_reserve, same_twice, in_line)
 {
-    // A dossier check is never begun since long prompts take each bit of memory that gets free before it. It
-    // waits in line at the second engine: the first share is renewed meanwhile, the second asked for again,
-    // and the line has an end. Cause: a gang that can only take what is free at this moment.
+    // Guards against starvation of a gang that could only use memory that is free at the moment, since long
+    // prompts take it first. Its second share is queued: the first one is renewed meanwhile, and the second
+    // one is requested again until it is granted.
     gang_planner planner(1);
-    const auto held = only<reserve_share>(planner.start(now, million, first, minute, candidates(9)));
+    const auto held = only<reserve_share>(planner.start(now, large_request, first, minute, candidates(9)));
     auto asked = only<reserve_share>(planner.step(now, grant(held)));
     cr_assert(planner.step(now, share_refused{asked.gang, asked.upstream, 0s, true}).empty());
     instant time = now;
@@ -321,7 +322,7 @@
             (void)planner.step(time, share_refused{each.gang, each.upstream, 0s, true});
         }
     }
-    cr_assert(renewed >= 3 and time > now + 11s, "longer than one hold");
+    cr_assert(renewed >= 3 and time > now + 11s, "the queued wait has to exceed one hold");
     const auto next = planner.step(time, grant(asked));
-    cr_assert(all_of<reserve_share>(next).size() == 1, "on to the third share");
+    cr_assert(all_of<reserve_share>(next).size() == 1, "expected the request for the third share");
 }
--- a/tests/gang/gang_schedule_test.cpp
+++ b/tests/gang/gang_schedule_test.cpp
@@ -16,11 +16,11 @@
 
 constexpr std::size_t planner_count = 3;
 constexpr std::size_t engine_count = 6;
-constexpr token_count engine_room = 400'000;
+constexpr token_count engine_capacity = 400'000;
 constexpr duration run_time = 120s;
 constexpr duration decode_time = 3s;
 
-/// A message to an engine or to a planner.
+/// Message to an engine or to a planner.
 struct envelope
 {
     std::size_t planner = 0;
@@ -30,54 +30,54 @@
     share_answer answer;
 };
 
-/// How unkind a run is.
-struct schedule
+/// Fault rates and load of a run.
+struct schedule_rules
 {
     message_bag_rules network;
-    double death = 0.0;     // of an engine or a planner, each step
-    double pause = 0.0;     // of a planner, each step
-    double prompts = 0.0;   // part of the time that an engine is taken by other prompts
-    double arrivals = 0.01; // of a gang at a planner, each step
+    double death = 0.0;     // probability per step, for an engine and for a planner
+    double pause = 0.0;     // probability per step that a planner is paused
+    double prompts = 0.0;   // share of the time that other prompts occupy memory of an engine
+    double arrivals = 0.01; // probability per step of a new gang at a planner
 };
 
-/// Some planners before the same engines, with a network between them that loses, delays, doubles and
-/// reorders.
+/// Simulates planners that share engines over a network that loses, delays, duplicates and reorders messages.
 class gang_simulation
 {
 public:
-    gang_simulation(std::uint64_t seed, const schedule& rules)
+    gang_simulation(std::uint64_t seed, const schedule_rules& rules)
         : random_(seed)
         , rules_(rules)
-        , bag_(seed, rules.network)
-        , engines_(engine_count, fake_share_holder(engine_room))
+        , network_(seed, rules.network)
+        , engines_(engine_count, fake_share_holder(engine_capacity))
     {
         for (std::size_t i = 0; i < planner_count; ++i) {
             planners_.emplace_back(seed * 10 + i);
         }
     }
 
-    /// Runs to the end, then lets every hold end; what is broken, or nothing.
+    /// Runs to the end and until every hold has expired; returns the violated property, if any.
     auto run() -> std::optional<std::string>
     {
         for (now_ = instant(1s); now_ < instant(run_time) && !broken_; now_ += 50ms) {
-            start_some();
-            load_some();
-            break_some();
-            turn();
+            start_gangs();
+            change_load();
+            inject_faults();
+            deliver_and_wake();
         }
         for (; now_ < instant(run_time + 100s) && !broken_; now_ += 50ms) {
-            turn();
+            deliver_and_wake();
         }
         for (auto& engine : engines_) {
             engine.expire(now_);
-            broken_ = !broken_ && engine.used() != 0 ? std::optional<std::string>("memory held afterwards")
-                                                     : broken_;
+            broken_ = !broken_ && engine.used() != 0
+                          ? std::optional<std::string>("an engine still holds memory after the run")
+                          : broken_;
         }
         return broken_;
     }
 
     [[nodiscard]] auto started() const -> int { return started_; }
-    [[nodiscard]] auto readied() const -> int { return readied_; }
+    [[nodiscard]] auto ready_count() const -> int { return ready_count_; }
     [[nodiscard]] auto settled() const -> int { return static_cast<int>(settled_.size()); }
 
 private:
@@ -97,13 +97,13 @@
     {
         std::vector<gang_candidate> all;
         for (std::size_t i = 0; i < engine_count; ++i) {
-            // Planners believe all engines free, so that they clash as often as they can.
-            all.push_back({name_of(i), failure_domain_id("d"), engine_room, engine_room});
+            // All engines appear free to the planners, which maximizes conflicts.
+            all.push_back({name_of(i), failure_domain_id("d"), engine_capacity, engine_capacity});
         }
         return all;
     }
 
-    void start_some()
+    void start_gangs()
     {
         for (std::size_t i = 0; i < planner_count; ++i) {
             if (random_.chance(rules_.arrivals) && planners_[i].gangs() < 4 &&
@@ -115,16 +115,16 @@
         }
     }
 
-    void load_some()
+    void change_load()
     {
         for (auto& engine : engines_) {
             if (rules_.prompts > 0.0 && random_.chance(0.05)) {
-                engine.hold_prompts(random_.chance(rules_.prompts) ? engine_room / 4 : 0);
+                engine.set_prompt_memory(random_.chance(rules_.prompts) ? engine_capacity / 4 : 0);
             }
         }
     }
 
-    void break_some()
+    void inject_faults()
     {
         if (random_.chance(rules_.death)) {
             const std::size_t engine = random_.below(engine_count);
@@ -143,12 +143,12 @@
         }
     }
 
-    void turn()
+    void deliver_and_wake()
     {
         const auto awake = [this](const envelope& each) {
             return each.to_engine || paused_until_[each.planner] <= now_;
         };
-        while (auto message = bag_.take(now_, awake)) {
+        while (auto message = network_.take(now_, awake)) {
             message->to_engine ? at_engine(*message) : at_planner(*message);
         }
         const auto due = [this](const decoding& each) {
@@ -183,9 +183,9 @@
             reply.answer = engine.step(now_, std::get<release_share>(message.ask));
         }
         if (engine.used() > engine.capacity()) {
-            broken_ = "an engine holds more than it may";
+            broken_ = "an engine holds more than its capacity";
         }
-        bag_.send(now_, reply);
+        network_.send(now_, reply);
     }
 
     void at_planner(const envelope& message)
@@ -217,7 +217,7 @@
             else if (const auto* ready = std::get_if<gang_ready>(&output)) {
                 check_held(*ready);
                 decoding_.push_back({planner, ready->gang.request, now_ + decode_time});
-                ++readied_;
+                ++ready_count_;
                 settled_.insert(ready->gang.request);
             }
             else {
@@ -232,7 +232,7 @@
             auto& engine = engines_[engine_of(span.upstream)];
             engine.expire(now_);
             if (!engine.holds(ready.gang, span.lease)) {
-                broken_ = "a gang is ready without all of its shares";
+                broken_ = "a gang is ready without holding all of its shares";
             }
         }
     }
@@ -244,12 +244,12 @@
 
     void send(std::size_t planner, const upstream_id& engine, const gang_output& ask)
     {
-        bag_.send(now_, {planner, engine_of(engine), true, ask, {}});
+        network_.send(now_, {planner, engine_of(engine), true, ask, {}});
     }
 
     random_source random_;
-    schedule rules_;
-    message_bag<envelope> bag_;
+    schedule_rules rules_;
+    message_bag<envelope> network_;
     std::vector<fake_share_holder> engines_;
     std::vector<gang_planner> planners_;
     std::array<instant, planner_count> paused_until_{};
@@ -257,7 +257,7 @@
     instant now_;
     std::optional<std::string> broken_;
     int started_ = 0;
-    int readied_ = 0;
+    int ready_count_ = 0;
     std::set<request_id> settled_;
     std::uint64_t deaths_ = 0;
 };
@@ -266,32 +266,31 @@
 
 FAULT_CELL_MORE(gang_reserve, two_faults, schedule)
 {
-    // Any caller with a prompt larger than an engine: planners of three gateways take shares of the same
-    // engines while messages are lost, late, doubled and out of order, engines and gateways die and gateways
-    // pause. Afterwards no engine holds anything, and no gang was ever ready without all of its shares.
-    // Cause: any of the above at once.
+    // Guards against leaked shares and incomplete gangs: planners of three gateways reserve shares of the
+    // same engines while messages are lost, late, duplicated and reordered, engines and gateways die, and
+    // gateways are paused. Afterwards no engine holds anything, and no gang was ready without all of its
+    // shares.
     const char* const filter = "step__gang_reserve/fault__two_faults__schedule";
     run_schedules(40, "test_gang", filter, [](std::uint64_t seed) {
-        gang_simulation world(seed,
-                              {{.drop = 0.05, .duplicate = 0.05, .late = 0.05}, 0.002, 0.01, 0.3, 0.01});
-        return world.run();
+        gang_simulation run(seed, {{.drop = 0.05, .duplicate = 0.05, .late = 0.05}, 0.002, 0.01, 0.3, 0.01});
+        return run.run();
     });
 }
 
 FAULT_CELL_MORE(gang_reserve, message_reordered, progress)
 {
-    // All of the largest prompts wait for each other for ever. Three gateways take shares of the same
-    // engines, with messages in any order and none lost. Cause: deadlock, or everyone giving way to everyone.
+    // Guards against deadlock and livelock of large prompts: three gateways reserve shares of the same
+    // engines, with messages reordered and none lost.
     const char* const filter = "step__gang_reserve/fault__message_reordered__progress";
     run_schedules(40, "test_gang", filter, [](std::uint64_t seed) -> std::optional<std::string> {
-        gang_simulation world(seed, {{.late = 0.05, .late_delay = 200ms}, 0.0, 0.0, 0.0, 0.01});
-        auto broken = world.run();
-        if (!broken && world.settled() != world.started()) {
+        gang_simulation run(seed, {{.late = 0.05, .late_delay = 200ms}, 0.0, 0.0, 0.0, 0.01});
+        auto broken = run.run();
+        if (!broken && run.settled() != run.started()) {
             broken = "a gang neither ran nor failed";
         }
-        if (!broken && world.readied() * 10 < world.started() * 9) {
-            broken =
-                "only " + std::to_string(world.readied()) + " of " + std::to_string(world.started()) + " ran";
+        if (!broken && run.ready_count() * 10 < run.started() * 9) {
+            broken = "only " + std::to_string(run.ready_count()) + " of " + std::to_string(run.started()) +
+                     " became ready";
         }
         return broken;
     });
@@ -299,15 +298,15 @@
 
 FAULT_CELL_MORE(gang_reserve, same_twice, starvation)
 {
-    // The largest prompts are never begun: at any moment other prompts hold some memory of most engines.
-    // Cause: a gang that finds no engine free at the moment it asks, again and again; in line its turn comes.
+    // Guards against starvation of large prompts while other prompts occupy memory of most engines at any
+    // moment: a gang that finds no engine free at each request has to be queued.
     const char* const filter = "step__gang_reserve/fault__same_twice__starvation";
     run_schedules(40, "test_gang", filter, [](std::uint64_t seed) -> std::optional<std::string> {
-        gang_simulation world(seed, {{}, 0.0, 0.0, 0.7, 0.0015});
-        auto broken = world.run();
-        if (!broken && world.readied() * 10 < world.started() * 8) {
-            broken =
-                "only " + std::to_string(world.readied()) + " of " + std::to_string(world.started()) + " ran";
+        gang_simulation run(seed, {{}, 0.0, 0.0, 0.7, 0.0015});
+        auto broken = run.run();
+        if (!broken && run.ready_count() * 10 < run.started() * 8) {
+            broken = "only " + std::to_string(run.ready_count()) + " of " + std::to_string(run.started()) +
+                     " became ready";
         }
         return broken;
     });
