--- a/include/dragonflymill/overload/fair_shares.h
+++ b/include/dragonflymill/overload/fair_shares.h
@@ -8,38 +8,38 @@
 
 namespace dragonflymill {
 
-/// Bounds of the fair shares.
+/// Settings of `fair_shares`.
 struct fair_share_settings
 {
-    std::size_t max_accounts =
-        2'048; ///< Accounts remembered; the one that asked least is forgotten, with its weight.
-    duration half_life{10'000'000}; ///< What was asked counts half after this time.
-    double slack = 1.2;             ///< An account over this many times its share counts as over it.
+    std::size_t max_accounts = 2'048; ///< Accounts tracked; the least active is dropped, with its weight.
+    duration half_life{10'000'000};   ///< Half-life of requested cost.
+    double slack = 1.2;               ///< An account above this multiple of its share counts as over it.
 
     friend auto operator==(const fair_share_settings&, const fair_share_settings&) -> bool = default;
 };
 
-/// What each client account asked for of late, against its weighted share of what all active accounts asked.
+/// Compares the recent cost that each client account requested with its weighted share of the total over all
+/// active accounts.
 ///
-/// It goes by what was asked, not by what was given. Under refusal an account that asks for far too much is
-/// given no more than its share; judged by that it would look like the small ones beside it, and they would
-/// be refused as often as it.
+/// It counts requested cost, not admitted cost. Under load shedding an account that requests far too much is
+/// admitted no more than its share; by admitted cost it would look like the small accounts, and they would be
+/// refused as often.
 class fair_shares
 {
 public:
-    /// Nothing used so far.
+    /// Creates an empty table.
     explicit fair_shares(fair_share_settings settings = {})
         : settings_(settings)
     {
     }
 
-    /// Sets an account's weight; 1 if never set.
+    /// Sets an account's weight; the default is 1.
     void set_weight(const client_account_id& account, double weight);
-    /// Notes that an account asked for work of this cost.
-    void asked(instant now, const client_account_id& account, duration cost);
-    /// Whether an account asked for more than its share; false while it is the only one.
+    /// Adds the cost of a request to its account.
+    void add_cost(instant now, const client_account_id& account, duration cost);
+    /// Returns whether an account requested more than its share; false while it is the only active one.
     [[nodiscard]] auto over_share(instant now, const client_account_id& account) const -> bool;
-    /// Accounts remembered.
+    /// Returns the number of accounts tracked.
     [[nodiscard]] auto size() const -> std::size_t { return accounts_.size(); }
 
 private:
--- a/include/dragonflymill/overload/overload_policy.h
+++ b/include/dragonflymill/overload/overload_policy.h
@@ -13,32 +13,32 @@
 
 namespace dragonflymill {
 
-/// How urgent a request is, by its route and account.
+/// Priority of a request, from its route and account.
 enum class work_priority
 {
-    urgent,    ///< Somebody waits for it.
-    normal,    ///< Somebody will want it soon.
-    overnight, ///< It may be paused, as long as it ends in its limit.
+    urgent,    ///< A person waits for the answer.
+    normal,    ///< The answer is needed soon.
+    overnight, ///< May be paused, as long as it finishes within its time limit.
 };
 
 /// Number of priorities.
 inline constexpr std::size_t work_priority_count = 3;
 
-/// Index of a priority, for arrays that have an element for each.
+/// Returns the index of a priority, for arrays with one element for each.
 [[nodiscard]] constexpr auto index_of(work_priority value) -> std::size_t
 {
     return static_cast<std::size_t>(value);
 }
 
-/// A request as overload decisions see it.
+/// The properties of a request that overload decisions use.
 struct offered_work
 {
-    request_id request;                                 ///< The request.
-    client_account_id account;                          ///< Whose it is.
-    work_priority priority = work_priority::normal;     ///< How urgent it is.
-    length_class size = length_class::interactive;      ///< Its class.
-    duration cost{0};                                   ///< Predicted time of an engine.
-    deadline_budget limit{instant{}, duration::zero()}; ///< Its time limit.
+    request_id request;
+    client_account_id account;
+    work_priority priority = work_priority::normal;
+    length_class size = length_class::interactive;      ///< Length class.
+    duration cost{0};                                   ///< Predicted engine time.
+    deadline_budget limit{instant{}, duration::zero()}; ///< Time limit.
 
     friend auto operator==(const offered_work&, const offered_work&) -> bool = default;
 };
@@ -46,19 +46,19 @@
 /// A request that was admitted and has not ended.
 struct running_work
 {
-    offered_work work;     ///< The request.
-    duration cost_left{0}; ///< The part of its cost that is still to come.
+    offered_work work;
+    duration cost_left{0}; ///< Part of its cost that is still to come.
 
     friend auto operator==(const running_work&, const running_work&) -> bool = default;
 };
 
-/// How loaded the upstreams are: the time in which they would work off what is queued now, and its bound.
+/// Load of the upstreams: the time that they need for the work queued now, and its bound.
 struct load_signal
 {
-    duration drain_time{0}; ///< Queued work over the rate of the upstreams.
-    duration bound{0};      ///< Up to this nothing is shed.
+    duration drain_time{0}; ///< Queued work divided by the rate of the upstreams.
+    duration bound{0};      ///< Nothing is shed up to this drain time.
 
-    /// The part of the work by which the bound is exceeded; 0 if it is kept.
+    /// Returns the fraction of the work that exceeds the bound, from 0 to 1.
     [[nodiscard]] auto excess() const -> double
     {
         if (drain_time <= bound || drain_time <= duration::zero()) {
@@ -70,16 +70,16 @@
     friend auto operator==(const load_signal&, const load_signal&) -> bool = default;
 };
 
-/// The request may go on to routing.
+/// The request may be routed.
 struct admit_work
 {
     friend auto operator==(const admit_work&, const admit_work&) -> bool = default;
 };
 
-/// What becomes of an offered request.
+/// Decision on an offered request.
 using admission = std::variant<admit_work, refusal>;
 
-/// A way to choose what is refused, and what is paused, while there is more work than the upstreams can do.
+/// A policy that chooses what is refused and paused while there is more work than the upstreams can process.
 template <typename P>
 concept overload_policy = requires(P policy, instant now, const offered_work& work, const load_signal& load,
                                    std::span<const running_work> running, bool in_time)
@@ -95,10 +95,11 @@
         } -> std::same_as<void>;
 };
 
-/// The truthful answer to a request that is refused before anything was sent for it.
+/// Returns the refusal of a request for which nothing was sent; it is "not run", with a time to retry after.
 [[nodiscard]] auto refuse_overloaded(const load_signal& load) -> refusal;
 
-/// Whether work may be paused now and still end in its limit, with its cost again to spare.
+/// Returns whether work may be paused now and still finish within its limit, with its remaining cost again to
+/// spare.
 [[nodiscard]] auto may_pause(instant now, const running_work& running) -> bool;
 
 } // namespace dragonflymill
--- a/include/dragonflymill/overload/shedding_policies.h
+++ b/include/dragonflymill/overload/shedding_policies.h
@@ -7,24 +7,24 @@
 
 namespace dragonflymill {
 
-/// Baseline: refuses nothing and pauses nothing.
+/// Baseline policy that refuses and pauses nothing.
 class no_shedding
 {
 public:
-    /// Admits.
+    /// Admits every request.
     [[nodiscard]] auto offer(instant now, const offered_work& work, const load_signal& load) -> admission;
     /// Pauses nothing.
     [[nodiscard]] auto pause(instant now, const load_signal& load, std::span<const running_work> running)
         -> std::vector<request_id>;
-    /// Learns nothing.
+    /// Does nothing: this policy doesn't use outcomes.
     void ended(instant now, const offered_work& work, bool in_time);
 };
 
-/// Baseline: refuses any request with the same probability, and pauses any overnight work.
+/// Baseline policy that refuses every request with the same probability and pauses any overnight work.
 class random_shedding
 {
 public:
-    /// Draws with the sequence that belongs to `seed`.
+    /// Creates a policy whose random sequence is determined by `seed`.
     explicit random_shedding(std::uint64_t seed)
         : random_(seed)
     {
@@ -32,35 +32,35 @@
 
     /// Refuses with the probability of the excess.
     [[nodiscard]] auto offer(instant now, const offered_work& work, const load_signal& load) -> admission;
-    /// Pauses overnight work in the order given, as much as the excess.
+    /// Pauses overnight work in the given order until the excess is freed.
     [[nodiscard]] auto pause(instant now, const load_signal& load, std::span<const running_work> running)
         -> std::vector<request_id>;
-    /// Learns nothing.
+    /// Does nothing: this policy doesn't use outcomes.
     void ended(instant now, const offered_work& work, bool in_time);
 
 private:
     random_source random_;
 };
 
-/// Refuses the lowest priority first, and within one the accounts over their share.
+/// Refuses the lowest priority first, and within a priority the accounts over their share.
 class priority_shedding
 {
 public:
-    /// Draws with the sequence that belongs to `seed`.
+    /// Creates a policy whose random sequence is determined by `seed`.
     explicit priority_shedding(std::uint64_t seed, fair_share_settings shares = {})
         : random_(seed)
         , shares_(shares)
     {
     }
 
-    /// Weights of the accounts.
+    /// Returns the shares of the accounts, for setting weights.
     [[nodiscard]] auto shares() -> fair_shares& { return shares_; }
-    /// Refuses if the request is in the part of its class to be refused.
+    /// Refuses with the probability that applies to the request's shed class.
     [[nodiscard]] auto offer(instant now, const offered_work& work, const load_signal& load) -> admission;
-    /// Pauses overnight work in the order given, as much as the excess.
+    /// Pauses overnight work in the given order until the excess is freed.
     [[nodiscard]] auto pause(instant now, const load_signal& load, std::span<const running_work> running)
         -> std::vector<request_id>;
-    /// Learns nothing.
+    /// Does nothing: this policy doesn't use outcomes.
     void ended(instant now, const offered_work& work, bool in_time);
 
 private:
@@ -69,23 +69,24 @@
     shed_class_stats classes_;
 };
 
-/// Settings of contribution shedding.
+/// Settings of `contribution_shedding`.
 struct contribution_settings
 {
-    /// Worth of an answer in time, by priority.
-    std::array<double, work_priority_count> worth{16.0, 4.0, 1.0};
-    double over_share_worth = 0.25; ///< Factor for accounts over their share.
-    double most_refused = 0.9; ///< No class is refused by more than this part: long prompts are not starved.
+    /// Utility of an answer within its time limit, by priority.
+    std::array<double, work_priority_count> utility{16.0, 4.0, 1.0};
+    double over_share_factor = 0.25;   ///< Factor on the utility for accounts over their share.
+    double max_refused_fraction = 0.9; ///< Upper bound for each class, to avoid starving long prompts.
 
     friend auto operator==(const contribution_settings&, const contribution_settings&) -> bool = default;
 };
 
-/// Refuses first what contributes least for what it consumes: the worth of an answer in time, by how often
-/// its class ends in time, over its predicted cost. What runs is paused by the same measure.
+/// Refuses first the class with the lowest utility for its cost: the utility of an answer in time, times how
+/// often the class finishes in time, divided by its mean predicted cost. Running work is paused by its
+/// remaining cost.
 class contribution_shedding
 {
 public:
-    /// Draws with the sequence that belongs to `seed`.
+    /// Creates a policy whose random sequence is determined by `seed`.
     explicit contribution_shedding(std::uint64_t seed, contribution_settings settings = {},
                                    fair_share_settings shares = {})
         : settings_(settings)
@@ -94,14 +95,14 @@
     {
     }
 
-    /// Weights of the accounts.
+    /// Returns the shares of the accounts, for setting weights.
     [[nodiscard]] auto shares() -> fair_shares& { return shares_; }
-    /// Refuses if the request is in the part of its class to be refused.
+    /// Refuses with the probability that applies to the request's shed class.
     [[nodiscard]] auto offer(instant now, const offered_work& work, const load_signal& load) -> admission;
-    /// Pauses the overnight work with the most cost to come, as much as the excess.
+    /// Pauses the overnight work with the highest remaining cost first, until the excess is freed.
     [[nodiscard]] auto pause(instant now, const load_signal& load, std::span<const running_work> running)
         -> std::vector<request_id>;
-    /// Learns how often a class ends in time.
+    /// Updates how often a class finishes in time.
     void ended(instant now, const offered_work& work, bool in_time);
 
 private:
--- a/src/overload/fair_shares.cpp
+++ b/src/overload/fair_shares.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Use below this, in microseconds of an engine, counts as none.
-constexpr double least_use = 1'000.0;
+/// Accounts with less recent cost than this, in microseconds of engine time, don't count as active.
+constexpr double min_active_cost = 1'000.0;
 
 } // namespace
 
@@ -17,7 +17,7 @@
     entry_for(instant{}, account).weight = std::max(weight, 1e-6);
 }
 
-void fair_shares::asked(instant now, const client_account_id& account, duration cost)
+void fair_shares::add_cost(instant now, const client_account_id& account, duration cost)
 {
     auto& use = entry_for(now, account);
     use.cost = decayed(now, use) + static_cast<double>(cost.count());
@@ -35,7 +35,7 @@
     std::size_t active = 0;
     for (const auto& [id, use] : accounts_) {
         const double cost = decayed(now, use);
-        if (cost >= least_use) {
+        if (cost >= min_active_cost) {
             all += cost;
             weights += use.weight;
             ++active;
--- a/src/overload/overload_policy.cpp
+++ b/src/overload/overload_policy.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-constexpr duration shortest_retry{1'000'000};
-constexpr duration longest_retry{30'000'000};
+constexpr duration min_retry_after{1'000'000};
+constexpr duration max_retry_after{30'000'000};
 
 } // namespace
 
 auto refuse_overloaded(const load_signal& load) -> refusal
 {
-    const duration until_bound = std::clamp(load.drain_time - load.bound, shortest_retry, longest_retry);
+    const duration until_bound = std::clamp(load.drain_time - load.bound, min_retry_after, max_retry_after);
     return {refusal_code::overloaded, ran_state::no, until_bound, "send it again after the time given"};
 }
 
--- a/src/overload/paused_work.cpp
+++ b/src/overload/paused_work.cpp
@@ -24,18 +24,18 @@
 auto paused_work::due(instant now, const load_signal& load) -> paused_work_due
 {
     paused_work_due due;
-    const auto calm_bound = static_cast<double>(load.bound.count()) * settings_.calm;
-    const bool calm = static_cast<double>(load.drain_time.count()) < calm_bound;
-    std::size_t resumes = calm ? settings_.resumes : 0;
+    const auto resume_bound = static_cast<double>(load.bound.count()) * settings_.resume_below;
+    const bool may_resume = static_cast<double>(load.drain_time.count()) < resume_bound;
+    std::size_t resumes = may_resume ? settings_.max_resumes : 0;
     while (!paused_.empty()) {
         const running_work& next = paused_.front();
-        // Guards against a request that is paused past its limit and so neither answered nor refused: it is
-        // looked at by its latest start, and the limit itself ends it if this process wakes too late.
-        const bool must = latest_start(next) <= now;
-        if (!must && resumes == 0) {
+        // Guards against a request that stays paused past its time limit and is neither answered nor refused.
+        // It is resumed by its latest start, and reported as expired if this process runs too late for that.
+        const bool overdue = latest_start(next) <= now;
+        if (!overdue && resumes == 0) {
             break;
         }
-        resumes -= must ? 0 : 1;
+        resumes -= overdue ? 0 : 1;
         (next.work.limit.expired(now) ? due.expire : due.resume).push_back(next.work.request);
         paused_.erase(paused_.begin());
     }
@@ -59,7 +59,7 @@
 
 auto paused_work::latest_start(const running_work& running) -> instant
 {
-    // Half as long again as predicted, since others run beside it.
+    // Half as long again as predicted, since other requests run at the same time.
     return running.work.limit.end() - running.cost_left - running.cost_left / 2;
 }
 
--- a/src/overload/shed_class_stats.cpp
+++ b/src/overload/shed_class_stats.cpp
@@ -20,12 +20,12 @@
 
 void shed_class_stats::offered(instant now, std::size_t shed_class, duration cost)
 {
-    const double fade = std::exp2(-static_cast<double>((now - faded_at_).count()) / half_life);
+    const double decay = std::exp2(-static_cast<double>((now - decayed_at_).count()) / half_life);
     for (auto& each : tallies_) {
-        each.cost *= fade;
-        each.count *= fade;
+        each.cost *= decay;
+        each.count *= decay;
     }
-    faded_at_ = now;
+    decayed_at_ = now;
     tallies_[shed_class].cost += static_cast<double>(cost.count());
     tallies_[shed_class].count += 1.0;
 }
@@ -36,8 +36,8 @@
     part += outcome_weight * ((in_time ? 1.0 : 0.0) - part);
 }
 
-auto shed_class_stats::parts_to_refuse(const std::array<double, shed_class_count>& rank, double excess,
-                                       double most) const -> std::array<double, shed_class_count>
+auto shed_class_stats::refusal_fractions(const std::array<double, shed_class_count>& rank, double excess,
+                                         double most) const -> std::array<double, shed_class_count>
 {
     std::array<std::size_t, shed_class_count> order{};
     std::iota(order.begin(), order.end(), std::size_t{0});
--- a/src/overload/shedding_policies.cpp
+++ b/src/overload/shedding_policies.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// The first of `running` that may be paused, until they free the excess part of all cost that is to come.
+/// Returns the first of `running` that may be paused, until they free the excess fraction of all remaining
+/// cost.
 auto pause_in_order(instant now, const load_signal& load, std::span<const running_work> running)
     -> std::vector<request_id>
 {
@@ -64,13 +65,13 @@
 {
     const std::size_t own = shed_class_of(work.priority, work.size, shares_.over_share(now, work.account));
     classes_.offered(now, own, work.cost);
-    shares_.asked(now, work.account, work.cost);
+    shares_.add_cost(now, work.account, work.cost);
     std::array<double, shed_class_count> rank{};
     for (std::size_t i = 0; i < shed_class_count; ++i) {
         const std::size_t priority = i / (length_class_count * 2);
         rank[i] = -static_cast<double>(priority * 2 + i % 2);
     }
-    const auto parts = classes_.parts_to_refuse(rank, load.excess(), 1.0);
+    const auto parts = classes_.refusal_fractions(rank, load.excess(), 1.0);
     return decide(random_.chance(parts[own]), load);
 }
 
@@ -86,8 +87,8 @@
 {
     const std::size_t own = shed_class_of(work.priority, work.size, shares_.over_share(now, work.account));
     classes_.offered(now, own, work.cost);
-    shares_.asked(now, work.account, work.cost);
-    const auto parts = classes_.parts_to_refuse(ranks(), load.excess(), settings_.most_refused);
+    shares_.add_cost(now, work.account, work.cost);
+    const auto parts = classes_.refusal_fractions(ranks(), load.excess(), settings_.max_refused_fraction);
     return decide(random_.chance(parts[own]), load);
 }
 
@@ -96,10 +97,10 @@
     std::array<double, shed_class_count> rank{};
     for (std::size_t i = 0; i < shed_class_count; ++i) {
         const auto& tally = classes_.of(i);
-        const double worth = settings_.worth[i / (length_class_count * 2)] * tally.in_time;
-        const double fair = i % 2 == 1 ? settings_.over_share_worth : 1.0;
+        const double utility = settings_.utility[i / (length_class_count * 2)] * tally.in_time;
+        const double fair = i % 2 == 1 ? settings_.over_share_factor : 1.0;
         const double mean_cost = tally.count > 0.0 ? tally.cost / tally.count : 1.0;
-        rank[i] = worth * fair / std::max(1.0, mean_cost);
+        rank[i] = utility * fair / std::max(1.0, mean_cost);
     }
     return rank;
 }
--- a/tests/overload/overload_test.cpp
+++ b/tests/overload/overload_test.cpp
@@ -14,8 +14,8 @@
 namespace {
 
 constexpr instant now(100s);
-constexpr load_signal calm{1s, 10s};
-constexpr load_signal half_over{20s, 10s};
+constexpr load_signal within_bound{1s, 10s};
+constexpr load_signal twice_the_bound{20s, 10s};
 
 auto work(const std::string& account, work_priority priority, duration cost,
           length_class size = length_class::interactive) -> offered_work
@@ -35,15 +35,16 @@
     return std::holds_alternative<refusal>(decided);
 }
 
-/// Parts of the offers of each kind that a policy refuses while half of all cost is too much.
+/// Returns the fraction of the offers of each kind that a policy refuses while the load is twice the bound.
 template <typename Policy>
-auto refused_parts(Policy& policy, const std::vector<offered_work>& kinds) -> std::vector<double>
+auto refused_fractions(Policy& policy, const std::vector<offered_work>& kinds) -> std::vector<double>
 {
     constexpr int rounds = 400;
     std::vector<double> parts(kinds.size(), 0.0);
     for (int round = 0; round < rounds; ++round) {
         for (std::size_t i = 0; i < kinds.size(); ++i) {
-            parts[i] += refused(policy.offer(now + 10ms * round, kinds[i], half_over)) ? 1.0 / rounds : 0.0;
+            parts[i] +=
+                refused(policy.offer(now + 10ms * round, kinds[i], twice_the_bound)) ? 1.0 / rounds : 0.0;
         }
     }
     return parts;
@@ -51,23 +52,23 @@
 
 } // namespace
 
-Test(load_signal, excess_is_the_part_over_the_bound)
+Test(load_signal, excess_is_the_fraction_over_the_bound)
 {
-    cr_assert(calm.excess() == 0.0);
-    cr_assert(half_over.excess() == 0.5);
+    cr_assert(within_bound.excess() == 0.0);
+    cr_assert(twice_the_bound.excess() == 0.5);
     cr_assert(load_signal{}.excess() == 0.0);
 }
 
-Test(shedding, nothing_is_refused_while_the_bound_is_kept)
+Test(shedding, refuses_nothing_within_the_bound)
 {
     contribution_shedding contribution(1);
     priority_shedding priority(1);
     random_shedding random(1);
     for (int i = 0; i < 100; ++i) {
         const auto each = work("a", work_priority::overnight, 10s);
-        cr_assert(not refused(contribution.offer(now, each, calm)));
-        cr_assert(not refused(priority.offer(now, each, calm)));
-        cr_assert(not refused(random.offer(now, each, calm)));
+        cr_assert(not refused(contribution.offer(now, each, within_bound)));
+        cr_assert(not refused(priority.offer(now, each, within_bound)));
+        cr_assert(not refused(random.offer(now, each, within_bound)));
     }
 }
 
@@ -77,93 +78,94 @@
                                           work("b", work_priority::normal, 3s)};
     contribution_shedding one(7);
     contribution_shedding other(7);
-    cr_assert(refused_parts(one, kinds) == refused_parts(other, kinds));
+    cr_assert(refused_fractions(one, kinds) == refused_fractions(other, kinds));
 }
 
 Test(priority_shedding, refuses_the_lowest_priority_first)
 {
     priority_shedding policy(1);
     const auto parts =
-        refused_parts(policy, {work("a", work_priority::urgent, 1s), work("a", work_priority::normal, 1s),
-                               work("a", work_priority::overnight, 1s)});
+        refused_fractions(policy, {work("a", work_priority::urgent, 1s), work("a", work_priority::normal, 1s),
+                                   work("a", work_priority::overnight, 1s)});
     cr_assert(parts[0] == 0.0);
-    cr_assert(parts[1] > 0.3 and parts[1] < 0.7, "half of all cost is one and a half kinds");
+    cr_assert(parts[1] > 0.3 and parts[1] < 0.7, "half of all cost equals one and a half of the three kinds");
     cr_assert(parts[2] > 0.95);
 }
 
-Test(contribution_shedding, refuses_what_costs_most_for_its_worth_and_starves_no_class)
+Test(contribution_shedding, refuses_the_lowest_utility_for_its_cost_and_starves_no_class)
 {
     contribution_shedding policy(1);
-    const auto parts = refused_parts(policy, {work("a", work_priority::normal, 100ms),
-                                              work("a", work_priority::normal, 10s, length_class::bulk)});
+    const auto parts = refused_fractions(policy, {work("a", work_priority::normal, 100ms),
+                                                  work("a", work_priority::normal, 10s, length_class::bulk)});
     cr_assert(parts[0] < 0.1);
     cr_assert(parts[1] > 0.4 and parts[1] <= 0.95);
 }
 
-Test(contribution_shedding, what_never_ends_in_time_is_worth_nothing)
+Test(contribution_shedding, refuses_a_class_that_never_finishes_in_time)
 {
     contribution_shedding policy(1);
-    const auto hopeless = work("a", work_priority::normal, 1s, length_class::medium);
-    const auto useful = work("a", work_priority::normal, 1s);
+    const auto always_late = work("a", work_priority::normal, 1s, length_class::medium);
+    const auto always_in_time = work("a", work_priority::normal, 1s);
     for (int i = 0; i < 200; ++i) {
-        policy.ended(now, hopeless, false);
-        policy.ended(now, useful, true);
+        policy.ended(now, always_late, false);
+        policy.ended(now, always_in_time, true);
     }
-    const auto parts = refused_parts(policy, {hopeless, useful});
+    const auto parts = refused_fractions(policy, {always_late, always_in_time});
     cr_assert(parts[0] > 0.8 and parts[1] < 0.3);
 }
 
 FAULT_CELL(request_limit, two_faults)
 {
-    // Small members get no answers while one large account sends ten times what its weight allows, during a
-    // shortage. Cause: overload refuses by number; the account over its share has to go first.
+    // During a shortage one large account sends ten times what its weight allows. Refusing by number alone
+    // would refuse small accounts as often; the account over its share must be refused first.
     priority_shedding policy(1);
     std::vector<offered_work> kinds(11, work("large", work_priority::normal, 1s));
     kinds.front() = work("small", work_priority::normal, 1s);
-    const auto parts = refused_parts(policy, kinds);
+    const auto parts = refused_fractions(policy, kinds);
     cr_assert(parts.front() < 0.1);
     cr_assert(parts.back() > 0.4);
 }
 
 FAULT_CELL(request_limit, upstream_cold)
 {
-    // A caller waits for its whole limit and is refused then. Capacity is gone, the queue is over its bound.
-    // Cause: refusal at the end, not at the start; it comes at once, is true, and says when to come back.
+    // Capacity is lost and the queue exceeds its bound. A request must be refused on arrival, not at its time
+    // limit, as "not run" and with a time to retry after.
     random_shedding policy(1);
-    const load_signal gone{1'000s, 1s};
+    const load_signal far_over_bound{1'000s, 1s};
     admission decided;
     while (!refused(decided)) {
-        decided = policy.offer(now, work("a", work_priority::urgent, 1s), gone);
+        decided = policy.offer(now, work("a", work_priority::urgent, 1s), far_over_bound);
     }
     const auto& answer = std::get<refusal>(decided);
     cr_assert(answer.ran == ran_state::no and answer.code == refusal_code::overloaded);
     cr_assert(answer.retry_after >= 1s and answer.retry_after <= 30s);
 }
 
-Test(fair_shares, weights_count_and_the_table_is_bounded)
+Test(fair_shares, applies_weights_and_bounds_the_table)
 {
     fair_shares shares({16, 10s, 1.2});
     shares.set_weight(client_account_id("large"), 10.0);
-    shares.asked(now, client_account_id("large"), 50s);
-    shares.asked(now, client_account_id("small"), 10s);
+    shares.add_cost(now, client_account_id("large"), 50s);
+    shares.add_cost(now, client_account_id("small"), 10s);
     cr_assert(not shares.over_share(now, client_account_id("large")));
     cr_assert(shares.over_share(now, client_account_id("small")));
     for (int i = 0; i < 100; ++i) {
-        shares.asked(now, client_account_id(std::to_string(i)), 1ms);
+        shares.add_cost(now, client_account_id(std::to_string(i)), 1ms);
     }
     cr_assert(shares.size() == 16);
-    cr_assert(shares.over_share(now + 1ms, client_account_id("small")), "the largest users are remembered");
+    cr_assert(shares.over_share(now + 1ms, client_account_id("small")),
+              "the accounts with the highest cost must be kept");
 }
 
-Test(pause, takes_only_overnight_work_that_can_wait_and_the_most_cost_first)
+Test(pause, pauses_only_overnight_work_that_can_wait_highest_cost_first)
 {
     contribution_shedding policy(1);
     const std::vector<running_work> all{running("doorstep", work_priority::urgent, 10s, 100s),
                                         running("late", work_priority::overnight, 10s, 15s),
                                         running("small", work_priority::overnight, 1s, 100s),
                                         running("large", work_priority::overnight, 11s, 100s)};
-    cr_assert(policy.pause(now, calm, all).empty());
-    const auto paused = policy.pause(now, half_over, all);
+    cr_assert(policy.pause(now, within_bound, all).empty());
+    const auto paused = policy.pause(now, twice_the_bound, all);
     cr_assert(paused.size() == 2);
     cr_assert(paused.front() == request_id("large"));
     cr_assert(paused.back() == request_id("small"));
@@ -171,27 +173,27 @@
 
 FAULT_CELL(request_resume, paused_wakes_late)
 {
-    // A season's summary is neither answered nor refused. It is paused in a shortage that does not end.
-    // Cause: a pause without an end; it resumes while it can still end in its limit, and ends with its limit
-    // if this process was itself paused past it.
+    // Work is paused in a shortage that doesn't end. It must resume while it can still finish within its
+    // limit, and expire at its limit if this process was itself paused beyond it.
     paused_work paused;
     cr_assert(paused.add(running("later", work_priority::overnight, 10s, 1'000s)));
     cr_assert(paused.add(running("summary", work_priority::overnight, 10s, 100s)));
     cr_assert(paused.next_wake() == now + 85s);
-    cr_assert(paused.due(now + 84s, half_over) == paused_work_due{});
-    cr_assert(paused.due(now + 85s, half_over).resume == std::vector<request_id>(1, request_id("summary")));
-    const auto late = paused.due(now + 2'000s, half_over);
+    cr_assert(paused.due(now + 84s, twice_the_bound) == paused_work_due{});
+    cr_assert(paused.due(now + 85s, twice_the_bound).resume ==
+              std::vector<request_id>(1, request_id("summary")));
+    const auto late = paused.due(now + 2'000s, twice_the_bound);
     cr_assert(late.resume.empty() and late.expire == std::vector<request_id>(1, request_id("later")));
     cr_assert(paused.size() == 0);
 }
 
-Test(paused_work, resumes_bit_by_bit_when_it_is_calm_and_is_bounded)
+Test(paused_work, resumes_gradually_at_low_load_and_is_bounded)
 {
     paused_work paused({2, 0.7, 1});
     cr_assert(paused.add(running("b", work_priority::overnight, 1s, 200s)));
     cr_assert(paused.add(running("a", work_priority::overnight, 1s, 100s)));
     cr_assert(not paused.add(running("c", work_priority::overnight, 1s, 100s)));
-    cr_assert(paused.due(now, calm).resume == std::vector<request_id>(1, request_id("a")));
+    cr_assert(paused.due(now, within_bound).resume == std::vector<request_id>(1, request_id("a")));
     paused.remove(request_id("b"));
     cr_assert(paused.size() == 0 and not paused.next_wake().has_value());
 }
