--- a/include/dragonflymill/serve/stream_stall_detector.h
+++ b/include/dragonflymill/serve/stream_stall_detector.h
@@ -9,62 +9,62 @@
 
 namespace dragonflymill {
 
-/// Settings of a stream_stall_detector.
+/// Settings of `stream_stall_detector`.
 struct stream_stall_options
 {
-    duration floor = 2s;             ///< No silence shorter than this counts.
-    double first_token_multiple = 8; ///< Multiple of the predicted first token from which a stream is silent.
-    double token_multiple = 20;      ///< Multiple of the usual time between tokens, likewise.
-    double cold_factor = 4;          ///< Stretches both while the engine calls itself cold.
-    duration pause_threshold = 1s;   ///< A gap between two calls that tells this process was paused.
+    duration floor = 2s;           ///< A shorter silence is never a stall.
+    double first_token_factor = 8; ///< Multiple of the predicted time to first token that is a stall.
+    double token_factor = 20;      ///< Multiple of the mean time between tokens that is a stall.
+    double cold_factor = 4;        ///< Further factor on both while the engine reports that it is cold.
+    duration pause_threshold = 1s; ///< A longer gap between two calls means that this process was paused.
 };
 
-/// Tells streams at the engine that make no progress from those that wait their turn.
+/// Distinguishes streams at the engine that make no progress from those that wait in its queue.
 ///
-/// Guarded failure: something between sidecar and engine loses track of a connection; it stays open and says
-/// nothing, and the caller waits until the transport's own bound or its limit. It holds because a stream's
-/// first token can't take longer than the engine needs for all that was ahead of it and all that was put to
-/// it since, at the speed of the first-token line: each prompt counts whole, whatever a cache may spare. A
-/// pause of this process doesn't count: what the engine sent meanwhile is still unread.
+/// Guards against a connection between sidecar and engine that stays open but delivers nothing: without it
+/// the caller waits for the transport's timeout or its own time limit. The bound holds because a first token
+/// can't take longer than the engine needs for all work queued before the stream and all work submitted
+/// since, at the speed of the first-token line. Each prompt counts in full, even if a cache may shorten it. A
+/// pause of this process doesn't count, since what the engine sent meanwhile is still unread.
 class stream_stall_detector
 {
 public:
-    /// Watches nothing yet.
+    /// Creates a detector without streams.
     explicit stream_stall_detector(stream_stall_options options);
 
-    /// A stream with a prompt of so many tokens is put to the engine.
+    /// Adds a stream with a prompt of `prompt` tokens that was submitted to the engine.
     void began(instant now, call_number call, token_count prompt);
-    /// Tokens of it came.
+    /// Notes that tokens of the stream arrived.
     void progressed(instant now, call_number call);
-    /// It is over, or given up.
+    /// Removes a stream that ended or was given up.
     void ended(call_number call);
-    /// The engine's word about itself.
+    /// Applies the engine's own report.
     void reported(token_count queued_prefill, bool cold);
-    /// The streams that are silent for longer than `line` explains; without a line only those past their
-    /// first token can be told.
+    /// Returns the streams that are silent for longer than `line` explains. Without a line only streams past
+    /// their first token are judged.
     [[nodiscard]] auto silent(instant now, const std::optional<first_token_line>& line)
         -> std::vector<call_number>;
 
 private:
-    struct watched
+    struct watched_stream
     {
-        instant last;
+        instant last_progress_at;
         token_count prompt = 0;
         token_count work_until = 0;
         bool decoding = false;
     };
 
     void account_for_process_pause(instant now);
-    [[nodiscard]] auto bound(const watched& stream, const std::optional<first_token_line>& line) const
+    [[nodiscard]] auto bound(const watched_stream& stream, const std::optional<first_token_line>& line) const
         -> std::optional<duration>;
 
     stream_stall_options options_;
-    std::map<call_number, watched> streams_;
-    std::optional<instant> last_call_;
-    duration usual_gap_{0};
-    token_count put_ = 0;
-    token_count waiting_ = 0;
-    token_count reported_queue_ = 0;
+    std::map<call_number, watched_stream> streams_;
+    std::optional<instant> last_called_at_;
+    duration mean_token_gap_{0};
+    token_count submitted_tokens_ = 0;
+    token_count waiting_tokens_ = 0;
+    token_count reported_queue_tokens_ = 0;
     bool cold_ = false;
 };
 
--- a/src/serve/service_dispatcher.cpp
+++ b/src/serve/service_dispatcher.cpp
@@ -9,29 +9,29 @@
 
 namespace {
 
-/// A sidecar that has just started, or a bundle that is just spreading, settles within this time.
-constexpr duration keyed_retry_hint = 5s;
+/// A sidecar that has just started, or a bundle that is still being distributed, settles within this time.
+constexpr duration keyed_retry_after = 5s;
 constexpr duration default_remember_for = std::chrono::minutes(10);
 
 auto unknown_refusal(unknown_reason why) -> refusal
 {
-    constexpr auto remedy_ask =
+    constexpr auto check_status_remedy =
         "ask for its status, or look into the service's own records, before trying again";
     switch (why) {
     case unknown_reason::other_incarnation:
-        return {refusal_code::ticket_unknown, ran_state::unknown, duration::zero(), remedy_ask};
+        return {refusal_code::ticket_unknown, ran_state::unknown, duration::zero(), check_status_remedy};
     case unknown_reason::broken:
-        return {refusal_code::upstream_gone, ran_state::unknown, duration::zero(), remedy_ask};
+        return {refusal_code::upstream_gone, ran_state::unknown, duration::zero(), check_status_remedy};
     case unknown_reason::not_home:
     case unknown_reason::no_lease:
-        return {refusal_code::ticket_unknown, ran_state::unknown, keyed_retry_hint,
+        return {refusal_code::ticket_unknown, ran_state::unknown, keyed_retry_after,
                 "try again with the same key"};
     case unknown_reason::forgotten:
     case unknown_reason::maybe_earlier:
         return {refusal_code::ticket_unknown, ran_state::unknown, duration::zero(),
                 "take a ticket, or a key of UUID version 7, so that a retry can be told from a first try"};
     }
-    return {refusal_code::internal, ran_state::unknown, duration::zero(), remedy_ask};
+    return {refusal_code::internal, ran_state::unknown, duration::zero(), check_status_remedy};
 }
 
 auto not_run_refusal() -> refusal
@@ -72,16 +72,16 @@
 
 auto service_dispatcher::remember_for(const route_id& route) const -> duration
 {
-    const auto found = remember_.find(route);
-    return found == remember_.end() ? default_remember_for : found->second;
+    const auto found = retention_.find(route);
+    return found == retention_.end() ? default_remember_for : found->second;
 }
 
 void service_dispatcher::routes_changed(instant now, const std::vector<sidecar_input::route_view>& routes)
 {
-    remember_.clear();
+    retention_.clear();
     for (const auto& view : routes) {
         homes_.adopt(now, view.route, view.upstreams);
-        remember_.emplace(view.route, view.remember_for);
+        retention_.emplace(view.route, view.remember_for);
     }
 }
 
@@ -111,7 +111,7 @@
         run_once(now, input, actions);
         return;
     }
-    if (const auto lease = ask_permit(now, input, actions)) {
+    if (const auto lease = request_permit(now, input, actions)) {
         run(now, input, std::nullopt, *lease, actions);
     }
 }
@@ -126,11 +126,12 @@
         return;
     }
     if (!std::holds_alternative<once_run>(before)) {
-        tell(before, input.call, actions);
+        reply(before, input.call, actions);
         return;
     }
-    // The permit comes first: without one nothing is recorded, and "not run" stays true for this name.
-    const auto lease = ask_permit(now, input, actions);
+    // The permit comes first: without one nothing is recorded, and "not run" stays true for this ticket or
+    // key.
+    const auto lease = request_permit(now, input, actions);
     if (!lease) {
         return;
     }
@@ -138,14 +139,14 @@
     const auto* granted = std::get_if<once_run>(&outcome);
     if (granted == nullptr) {
         gate_.done(now, *lease, work_outcome::cancelled);
-        tell(outcome, input.call, actions);
+        reply(outcome, input.call, actions);
         return;
     }
     run(now, input, granted->serial, *lease, actions);
 }
 
-auto service_dispatcher::ask_permit(instant now, const sidecar_input::service_called& input,
-                                    std::vector<sidecar_action>& actions) -> std::optional<lease_id>
+auto service_dispatcher::request_permit(instant now, const sidecar_input::service_called& input,
+                                        std::vector<sidecar_action>& actions) -> std::optional<lease_id>
 {
     const auto answer = gate_.ask(now, permit_request{input.spec.gateway, length_class::interactive, 1, 0});
     if (const auto* refused = std::get_if<refusal>(&answer)) {
@@ -169,8 +170,9 @@
         return;
     }
     const bool is_new = running_.emplace(input.call, running_call{lease, serial}).second;
-    DRAGONFLYMILL_ASSERT(is_new, "the shell numbers each call once");
-    // A ticket is run by its issuer alone, whoever has the address; a key also by a successor.
+    DRAGONFLYMILL_ASSERT(is_new, "call numbers are unique");
+    // A ticket is run only by the sidecar incarnation that issued it, whoever has its address now; a key may
+    // also be run by a successor, so its call must start within this sidecar's own lease.
     const bool by_key = serial && input.spec.ticket.empty();
     const auto not_after = by_key ? std::min(limit.end(), ledger_.own_lease()) : limit.end();
     actions.push_back(sidecar_output::run_service{input.call, input.spec, not_after, limit.remaining(now)});
@@ -180,61 +182,62 @@
                                       std::vector<sidecar_action>& actions)
 {
     auto call = once_call_of(input.spec);
-    // Guards against a false "not run": the question has no body, or another than the call asked about, and
-    // so would look like a second call under the same name. It holds because a name alone finds its call.
+    // Guards against a false "not run": a status request has no body, or another one than the call, and would
+    // look like a second call under the same ticket or key. Without a body the ledger finds the call by its
+    // name alone.
     call.body.reset();
-    tell(ledger_.status(now, call), input.call, actions);
+    reply(ledger_.status(now, call), input.call, actions);
 }
 
 void service_dispatcher::answered(instant now, const sidecar_input::service_answered& input,
                                   std::vector<sidecar_action>& actions)
 {
-    const auto held = running_.find(input.call);
-    if (held == running_.end()) {
+    const auto entry = running_.find(input.call);
+    if (entry == running_.end()) {
         return;
     }
-    gate_.first_token(now, held->second.lease);
-    gate_.done(now, held->second.lease, work_outcome::success);
-    if (held->second.wanted) {
+    gate_.first_token(now, entry->second.lease);
+    gate_.done(now, entry->second.lease, work_outcome::success);
+    if (entry->second.caller_waits) {
         actions.push_back(sidecar_output::answer_service{input.call, input.answer, false});
     }
-    if (held->second.serial) {
-        ledger_.answered(now, *held->second.serial, input.answer);
-        tell_waiting(*held->second.serial, once_replay{input.answer}, actions);
+    if (entry->second.serial) {
+        ledger_.answered(now, *entry->second.serial, input.answer);
+        reply_to_waiting(*entry->second.serial, once_replay{input.answer}, actions);
     }
-    running_.erase(held);
+    running_.erase(entry);
 }
 
 void service_dispatcher::broken(instant now, const sidecar_input::service_failed& input,
                                 std::vector<sidecar_action>& actions)
 {
-    const auto held = running_.find(input.call);
-    if (held == running_.end()) {
+    const auto entry = running_.find(input.call);
+    if (entry == running_.end()) {
         return;
     }
-    gate_.done(now, held->second.lease, work_outcome::failed);
-    // A name that was given leave to send is never said not to have run, even if the shell knows that no byte
-    // left: the ledger has promised to later tries that it may have.
-    const bool once = held->second.serial.has_value();
+    gate_.done(now, entry->second.lease, work_outcome::failed);
+    // A call that the ledger allowed to be sent is never reported as "not run", even if the shell knows that
+    // no byte was sent: the ledger has already answered later attempts that it may have run.
+    const bool once = entry->second.serial.has_value();
     const auto ran = input.sent || once ? ran_state::unknown : ran_state::no;
     auto why = unknown_refusal(unknown_reason::broken);
     why.ran = ran;
-    if (held->second.wanted) {
+    if (entry->second.caller_waits) {
         actions.push_back(sidecar_output::refuse_call{input.call, why});
     }
     if (once) {
-        ledger_.broken(now, *held->second.serial);
-        tell_waiting(*held->second.serial, once_unknown{unknown_reason::broken}, actions);
+        ledger_.broken(now, *entry->second.serial);
+        reply_to_waiting(*entry->second.serial, once_unknown{unknown_reason::broken}, actions);
     }
-    running_.erase(held);
+    running_.erase(entry);
 }
 
 void service_dispatcher::cancelled(call_number call)
 {
     waiting_.erase(call);
-    const auto held = running_.find(call);
-    if (held != running_.end()) {
-        held->second.wanted = false;
+    const auto entry = running_.find(call);
+    if (entry != running_.end()) {
+        entry->second.caller_waits = false;
     }
 }
 
@@ -253,8 +256,8 @@
     }
 }
 
-void service_dispatcher::tell(const once_outcome& outcome, call_number call,
-                              std::vector<sidecar_action>& actions)
+void service_dispatcher::reply(const once_outcome& outcome, call_number call,
+                               std::vector<sidecar_action>& actions)
 {
     if (const auto* replay = std::get_if<once_replay>(&outcome)) {
         actions.push_back(sidecar_output::answer_service{call, replay->answer, true});
@@ -276,15 +279,15 @@
     }
 }
 
-void service_dispatcher::tell_waiting(call_serial serial, const once_outcome& outcome,
-                                      std::vector<sidecar_action>& actions)
+void service_dispatcher::reply_to_waiting(call_serial serial, const once_outcome& outcome,
+                                          std::vector<sidecar_action>& actions)
 {
     for (auto it = waiting_.begin(); it != waiting_.end();) {
         if (it->second.serial != serial) {
             ++it;
             continue;
         }
-        tell(outcome, it->first, actions);
+        reply(outcome, it->first, actions);
         it = waiting_.erase(it);
     }
 }
--- a/src/serve/stream_stall_detector.cpp
+++ b/src/serve/stream_stall_detector.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Weight of a new gap between tokens against the usual one: about the last 50 count.
-constexpr duration::rep gap_memory = 50;
+/// Divisor of the moving average of the time between tokens; about the last 50 count.
+constexpr duration::rep mean_gap_divisor = 50;
 
 } // namespace
 
@@ -21,11 +21,11 @@
 void stream_stall_detector::began(instant now, call_number call, token_count prompt)
 {
     account_for_process_pause(now);
-    const auto ahead = std::max(waiting_, reported_queue_);
-    put_ += prompt;
-    waiting_ += prompt;
-    // Work that is put later is added when the stream is judged, since the engine may serve it first.
-    streams_.insert_or_assign(call, watched{now, prompt, ahead + prompt - put_, false});
+    const auto ahead = std::max(waiting_tokens_, reported_queue_tokens_);
+    submitted_tokens_ += prompt;
+    waiting_tokens_ += prompt;
+    // Work submitted later is added when the stream is judged, since the engine may process it first.
+    streams_.insert_or_assign(call, watched_stream{now, prompt, ahead + prompt - submitted_tokens_, false});
 }
 
 void stream_stall_detector::progressed(instant now, call_number call)
@@ -37,13 +37,13 @@
     }
     auto& stream = found->second;
     if (stream.decoding) {
-        usual_gap_ += (now - stream.last - usual_gap_) / gap_memory;
+        mean_token_gap_ += (now - stream.last_progress_at - mean_token_gap_) / mean_gap_divisor;
     }
     else {
-        waiting_ -= stream.prompt;
+        waiting_tokens_ -= stream.prompt;
     }
     stream.decoding = true;
-    stream.last = now;
+    stream.last_progress_at = now;
 }
 
 void stream_stall_detector::ended(call_number call)
@@ -53,14 +53,14 @@
         return;
     }
     if (!found->second.decoding) {
-        waiting_ -= found->second.prompt;
+        waiting_tokens_ -= found->second.prompt;
     }
     streams_.erase(found);
 }
 
 void stream_stall_detector::reported(token_count queued_prefill, bool cold)
 {
-    reported_queue_ = queued_prefill;
+    reported_queue_tokens_ = queued_prefill;
     cold_ = cold;
 }
 
@@ -71,7 +71,7 @@
     std::vector<call_number> found;
     for (const auto& [call, stream] : streams_) {
         const auto limit = bound(stream, line);
-        if (guard_holds(guard::stream_silence) && limit && now - stream.last > *limit) {
+        if (guard_holds(guard::stream_silence) && limit && now - stream.last_progress_at > *limit) {
             found.push_back(call);
         }
     }
@@ -80,27 +80,28 @@
 
 void stream_stall_detector::account_for_process_pause(instant now)
 {
-    if (last_call_ && now - *last_call_ > options_.pause_threshold) {
+    if (last_called_at_ && now - *last_called_at_ > options_.pause_threshold) {
         for (auto& [call, stream] : streams_) {
-            stream.last += now - *last_call_;
+            stream.last_progress_at += now - *last_called_at_;
         }
     }
-    last_call_ = now;
+    last_called_at_ = now;
 }
 
-auto stream_stall_detector::bound(const watched& stream, const std::optional<first_token_line>& line) const
+auto stream_stall_detector::bound(const watched_stream& stream,
+                                  const std::optional<first_token_line>& line) const
     -> std::optional<duration>
 {
-    const double stretch = cold_ ? options_.cold_factor : 1.0;
+    const double factor = cold_ ? options_.cold_factor : 1.0;
     if (stream.decoding) {
-        return std::max(options_.floor, scaled(usual_gap_, options_.token_multiple * stretch));
+        return std::max(options_.floor, scaled(mean_token_gap_, options_.token_factor * factor));
     }
     if (!line) {
         return std::nullopt;
     }
-    const auto work = static_cast<double>(stream.work_until + put_);
+    const auto work = static_cast<double>(stream.work_until + submitted_tokens_);
     const auto predicted = line->base + duration(static_cast<duration::rep>(line->us_per_token * work));
-    return std::max(options_.floor, scaled(predicted, options_.first_token_multiple * stretch));
+    return std::max(options_.floor, scaled(predicted, options_.first_token_factor * factor));
 }
 
 } // namespace dragonflymill
--- a/tests/serve/stream_stall_detector_test.cpp
+++ b/tests/serve/stream_stall_detector_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr instant start{1'000s};
-/// 100 ms and 25,000 tokens a second.
+/// 100 ms plus the time for a prefill of 25,000 tokens a second.
 constexpr first_token_line line{100ms, 40.0};
 constexpr duration step = 20ms;
 
@@ -17,11 +17,11 @@
     return start + duration(static_cast<duration::rep>(seconds * 1e6));
 }
 
-/// Time of the first look, a step apart, at which something is silent; nothing before `end`.
-auto first_silent(stream_stall_detector& watch, instant from, instant end) -> std::optional<instant>
+/// Returns the time of the first check, one step apart, that finds a stalled stream; nothing before `end`.
+auto first_stall(stream_stall_detector& detector, instant from, instant end) -> std::optional<instant>
 {
     for (auto now = from; now < end; now += step) {
-        if (!watch.silent(now, line).empty()) {
+        if (!detector.silent(now, line).empty()) {
             return now;
         }
     }
@@ -32,99 +32,102 @@
 
 FAULT_CELL_MORE(request_stream, connection_silent, before_first_token)
 {
-    // A caller waits for its first token. The connection between sidecar and engine has gone silent; only the
-    // transport's own bound of minutes would end it. Eight times the line of a prompt of 10,000 tokens is 4
-    // s.
-    stream_stall_detector watch({});
-    watch.began(start, call_number(1), 10'000);
-    cr_assert(!first_silent(watch, start, after(4.0)));
-    cr_assert(first_silent(watch, after(4.0), after(4.1)));
+    // The connection between sidecar and engine goes silent before the first token, and only the transport's
+    // timeout of minutes would end it. Eight times the predicted time to first token of a prompt of 10,000
+    // tokens is 4 s.
+    stream_stall_detector detector({});
+    detector.began(start, call_number(1), 10'000);
+    cr_assert(!first_stall(detector, start, after(4.0)));
+    cr_assert(first_stall(detector, after(4.0), after(4.1)));
 }
 
 FAULT_CELL_MORE(request_stream, connection_silent, between_tokens)
 {
-    // Tokens come every 20 ms, then none: the floor holds, not the first token's bound.
-    stream_stall_detector watch({});
-    watch.began(start, call_number(1), 200'000);
+    // Tokens arrive every 20 ms and then stop. The minimum stall time applies, not the bound of the first
+    // token.
+    stream_stall_detector detector({});
+    detector.began(start, call_number(1), 200'000);
     auto now = start;
     for (int token = 0; token < 100; ++token) {
         now += step;
-        watch.progressed(now, call_number(1));
+        detector.progressed(now, call_number(1));
     }
-    cr_assert(!first_silent(watch, now, now + 2s));
-    cr_assert(first_silent(watch, now, now + 2s + 2 * step));
+    cr_assert(!first_stall(detector, now, now + 2s));
+    cr_assert(first_stall(detector, now, now + 2s + 2 * step));
 }
 
-Test(stream_stall_detector, a_long_queue_is_no_silence_however_it_is_ordered)
+Test(stream_stall_detector, does_not_report_a_long_queue_in_any_order_as_a_stall)
 {
-    // Forty prompts of 100,000 tokens wait at once; the engine works at a quarter of the line's speed and
-    // serves the newest first, and a new one comes before each. The oldest gets its first token last.
-    stream_stall_detector watch({});
+    // Forty prompts of 100,000 tokens wait at once. The engine works at a quarter of the predicted speed and
+    // processes the newest first, and a new one is submitted before each. The oldest gets its first token
+    // last.
+    stream_stall_detector detector({});
     std::vector<call_number> waiting;
     std::uint64_t next = 0;
-    const auto put = [&](instant now) {
+    const auto submit = [&](instant now) {
         waiting.emplace_back(++next);
-        watch.began(now, waiting.back(), 100'000);
+        detector.began(now, waiting.back(), 100'000);
     };
     while (next < 40) {
-        put(start);
+        submit(start);
     }
     auto now = start;
     while (!waiting.empty()) {
         const auto served = now + 16s + 100ms; // 100,000 tokens at 6,250 a second
-        cr_assert(!first_silent(watch, now, served), "%zu wait", waiting.size());
+        cr_assert(!first_stall(detector, now, served), "stall reported while %zu streams wait",
+                  waiting.size());
         now = served;
-        watch.progressed(now, waiting.back());
-        watch.ended(waiting.back());
+        detector.progressed(now, waiting.back());
+        detector.ended(waiting.back());
         waiting.pop_back();
         if (next < 60) {
-            put(now);
+            submit(now);
         }
     }
 }
 
-Test(stream_stall_detector, work_of_a_predecessor_counts_as_the_engine_reports_it)
+Test(stream_stall_detector, counts_queued_work_that_the_engine_reports)
 {
-    // A sidecar that has just started knows no stream; its engine says that 400,000 tokens wait in it.
-    stream_stall_detector watch({});
-    watch.reported(400'000, false);
-    watch.began(start, call_number(1), 1'000);
-    cr_assert(!first_silent(watch, start, after(8 * 16)));
-    cr_assert(first_silent(watch, after(8 * 16), after(8 * 17)));
+    // A sidecar that has just started knows no streams; its engine reports 400,000 queued tokens.
+    stream_stall_detector detector({});
+    detector.reported(400'000, false);
+    detector.began(start, call_number(1), 1'000);
+    cr_assert(!first_stall(detector, start, after(8 * 16)));
+    cr_assert(first_stall(detector, after(8 * 16), after(8 * 17)));
 }
 
-Test(stream_stall_detector, a_cold_engine_gets_longer)
+Test(stream_stall_detector, allows_a_cold_engine_more_time)
 {
-    stream_stall_detector watch({});
-    watch.reported(0, true);
-    watch.began(start, call_number(1), 10'000);
-    cr_assert(!first_silent(watch, start, after(16.0)));
-    cr_assert(first_silent(watch, after(16.0), after(16.1)));
+    stream_stall_detector detector({});
+    detector.reported(0, true);
+    detector.began(start, call_number(1), 10'000);
+    cr_assert(!first_stall(detector, start, after(16.0)));
+    cr_assert(first_stall(detector, after(16.0), after(16.1)));
 }
 
-Test(stream_stall_detector, without_a_line_a_first_token_is_not_judged)
+Test(stream_stall_detector, does_not_judge_the_first_token_without_a_line)
 {
-    stream_stall_detector watch({});
-    watch.began(start, call_number(1), 10'000);
-    cr_assert(watch.silent(start + 500ms, std::nullopt).empty());
-    cr_assert(watch.silent(start + 1s, std::nullopt).empty());
+    stream_stall_detector detector({});
+    detector.began(start, call_number(1), 10'000);
+    cr_assert(detector.silent(start + 500ms, std::nullopt).empty());
+    cr_assert(detector.silent(start + 1s, std::nullopt).empty());
 }
 
 FAULT_CELL_MORE(request_stream, paused_wakes_late, own_pause_is_no_silence)
 {
-    // The sidecar is paused for a minute. What its engine sent meanwhile is unread in its sockets: cutting
-    // off every stream on wake-up would cost each caller a resume.
-    stream_stall_detector watch({});
-    watch.began(start, call_number(1), 10'000);
-    cr_assert(!first_silent(watch, start, after(1.0)));
-    cr_assert(!first_silent(watch, after(61.0), after(63.5)));
-    cr_assert(first_silent(watch, after(63.5), after(64.5)), "the rest of its time still counts");
+    // The sidecar is paused for a minute, and what its engine sent meanwhile is unread in its sockets.
+    // Cutting off every stream on wake-up would cost each caller a resume.
+    stream_stall_detector detector({});
+    detector.began(start, call_number(1), 10'000);
+    cr_assert(!first_stall(detector, start, after(1.0)));
+    cr_assert(!first_stall(detector, after(61.0), after(63.5)));
+    cr_assert(first_stall(detector, after(63.5), after(64.5)), "the time before the pause must still count");
 }
 
 FAULT_CELL_MORE(request_resume, connection_silent, given_up_and_cancelled)
 {
-    // What the sidecar does about it: the gateway hears at once that the try is lost, so that it resumes,
-    // and the engine is told to let go by a connection of its own.
+    // When a stream stalls, the sidecar must report the lost attempt to the gateway at once, so that it
+    // resumes, and cancel it at the engine over a separate connection.
     sidecar_core_options options;
     options.gate.ramp.floor = 10'000;
     options.gate.ramp.ceiling = 100'000;
@@ -139,17 +142,18 @@
     spec.remaining = 60s;
     (void)core.step(start, sidecar_input::attempt_opened{call_number(1), spec});
     (void)core.step(start, sidecar_input::prompt_received{call_number(1)});
-    bool told = false;
+    bool reported_lost = false;
     bool cancelled = false;
     for (auto now = start; now < start + 3s; now += step) {
         (void)core.step(now, sidecar_input::gateway_heartbeat{spec.gateway});
         for (const auto& action : core.step(now, sidecar_input::tick{})) {
             const auto* refused = std::get_if<sidecar_output::refuse_call>(&action);
-            told = told || (refused != nullptr && refused->why.code == refusal_code::upstream_gone &&
-                            refused->why.ran == ran_state::unknown);
+            reported_lost =
+                reported_lost || (refused != nullptr && refused->why.code == refusal_code::upstream_gone &&
+                                  refused->why.ran == ran_state::unknown);
             cancelled = cancelled || std::holds_alternative<sidecar_output::cancel_stream>(action);
         }
     }
-    cr_assert(told);
+    cr_assert(reported_lost);
     cr_assert(cancelled);
 }
