--- a/include/dragonflymill/overload/fair_shares.h
+++ b/include/dragonflymill/overload/fair_shares.h
@@ -11,7 +11,7 @@
 /// Settings of `fair_shares`.
 struct fair_share_settings
 {
-    std::size_t max_accounts = 2'048; ///< Accounts tracked; the one with the least cost is dropped.
+    std::size_t max_accounts = 2'048; ///< Accounts tracked; the least active is dropped, with its weight.
     duration half_life{10'000'000};   ///< Half-life of requested cost.
     double slack = 1.2;               ///< An account above this multiple of its share counts as over it.
 
