--- a/src/drain/drain_state.cpp
+++ b/src/drain/drain_state.cpp
@@ -17,7 +17,7 @@
     return b->since < a->since ? b : a;
 }
 
-auto counts_more(const drain_notice& a, const drain_notice& b) -> bool
+auto supersedes(const drain_notice& a, const drain_notice& b) -> bool
 {
     return a.number != b.number ? a.number > b.number : a.out && !b.out;
 }
@@ -108,11 +108,11 @@
         return true;
     }
     auto& entry = found->second;
-    if (!counts_more(word, entry.word)) {
+    if (!supersedes(word, entry.word)) {
         return false;
     }
-    const bool stays_out = word.out && entry.word.out;
-    entry = {word, stays_out ? entry.since : now};
+    const bool remains_out = word.out && entry.word.out;
+    entry = {word, remains_out ? entry.since : now};
     return true;
 }
 
--- a/src/membership/datagram_seal.cpp
+++ b/src/membership/datagram_seal.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t max_keys = 2;
 
 // The first half of an HMAC-SHA256 is as good as the whole where each guess costs a datagram.
-auto tag(const std::string& key, std::string_view content) -> std::string
+auto compute_mac(const std::string& key, std::string_view content) -> std::string
 {
     std::string full(EVP_MAX_MD_SIZE, '\0');
     unsigned int size = 0;
@@ -38,7 +38,7 @@
 
 auto datagram_seal::seal(std::string_view content) const -> std::string
 {
-    return tag(keys_.front(), content) + std::string(content);
+    return compute_mac(keys_.front(), content) + std::string(content);
 }
 
 auto datagram_seal::open(std::string_view sealed) const -> result<std::string_view>
@@ -46,7 +46,7 @@
     if (sealed.size() > size) {
         const auto content = sealed.substr(size);
         for (const auto& key : keys_) {
-            if (CRYPTO_memcmp(tag(key, content).data(), sealed.data(), size) == 0) {
+            if (CRYPTO_memcmp(compute_mac(key, content).data(), sealed.data(), size) == 0) {
                 return content;
             }
         }
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t max_seeds = 64;
 // What a datagram takes beside its news: UDP/IP header, seal, sender, bundle word, numbers.
 constexpr std::size_t datagram_base_bytes = 28 + 16 + 140 + 48 + 32;
-constexpr std::uint32_t told_per_doubling = 3;
+constexpr std::uint32_t transmissions_per_doubling = 3;
 
 } // namespace
 
@@ -69,8 +69,8 @@
 void membership::add_seeds(const std::vector<std::string>& addresses)
 {
     for (const auto& address : addresses) {
-        const bool known_one = std::find(seeds_.begin(), seeds_.end(), address) != seeds_.end();
-        if (!known_one && address != settings_.self.gossip_address && seeds_.size() < max_seeds) {
+        const bool is_known = std::find(seeds_.begin(), seeds_.end(), address) != seeds_.end();
+        if (!is_known && address != settings_.self.gossip_address && seeds_.size() < max_seeds) {
             seeds_.push_back(address);
         }
     }
@@ -94,7 +94,7 @@
 
 auto membership::repeats_of_change() const -> std::uint32_t
 {
-    return told_per_doubling * static_cast<std::uint32_t>(std::bit_width(table_.live_count() + 1));
+    return transmissions_per_doubling * static_cast<std::uint32_t>(std::bit_width(table_.live_count() + 1));
 }
 
 void membership::send(const std::string& address, const process_id& receiver, datagram_body body,
@@ -120,19 +120,19 @@
 
 void membership::add_news(datagram& message)
 {
-    const auto room = std::min(settings_.news_bytes, budget_);
-    news_.fill(message, room, repeats_of_change());
+    const auto available_bytes = std::min(settings_.news_bytes, budget_);
+    news_.fill(message, available_bytes, repeats_of_change());
     if (!drains_.empty() && message.drains.empty()) {
         message.drains.push_back(drains_[next_drain_++ % drains_.size()]);
     }
-    std::size_t used = 0;
+    std::size_t used_bytes = 0;
     for (const auto& news : message.news) {
-        used += size_bound(news);
+        used_bytes += size_bound(news);
     }
     for (const auto& drain : message.drains) {
-        used += size_bound(drain);
+        used_bytes += size_bound(drain);
     }
-    budget_ -= std::min(budget_, used);
+    budget_ -= std::min(budget_, used_bytes);
 }
 
 void membership::ping(const member_record& record, membership_outputs& outputs)
--- a/src/membership/membership_receive.cpp
+++ b/src/membership/membership_receive.cpp
@@ -15,9 +15,9 @@
 constexpr std::size_t page_bytes = 880;
 // A process that runs for longer has been noticed by others: a later start of its name is a successor. A
 // younger one hears of its own predecessor, whose clock was ahead.
-constexpr duration settled_after = 30s;
-constexpr duration differs_before_sync = 15s;
-constexpr duration differs_before_sync_with_more = 2s;
+constexpr duration min_uptime_to_yield = 30s;
+constexpr duration mismatch_before_sync = 15s;
+constexpr duration mismatch_before_sync_with_larger = 2s;
 
 } // namespace
 
@@ -90,7 +90,7 @@
 void membership::hear_of_self(instant now, const member_update& news, membership_outputs& outputs)
 {
     if (news.number.start > self_.number.start) {
-        if (now - started_ >= settled_after) {
+        if (now - started_ >= min_uptime_to_yield) {
             outputs.push_back(superseded{});
             return;
         }
@@ -98,16 +98,16 @@
         news_.add(self_);
         return;
     }
-    const bool wrong = news.state == member_state::suspect || news.state == member_state::dead;
+    const bool is_accusation = news.state == member_state::suspect || news.state == member_state::dead;
     const bool about_this_start = news.number.start == self_.number.start;
-    if (wrong && about_this_start && news.number.refutation >= self_.number.refutation &&
+    if (is_accusation && about_this_start && news.number.refutation >= self_.number.refutation &&
         self_.state == member_state::alive) {
         ++counts_.false_alarms;
         self_.number.refutation = news.number.refutation + 1;
         news_.add(self_);
-        auto denials = announce();
-        outputs.insert(outputs.end(), std::make_move_iterator(denials.begin()),
-                       std::make_move_iterator(denials.end()));
+        auto refutations = announce();
+        outputs.insert(outputs.end(), std::make_move_iterator(refutations.begin()),
+                       std::make_move_iterator(refutations.end()));
     }
 }
 
@@ -115,8 +115,8 @@
                         membership_outputs& outputs)
 {
     const auto& body = message.body;
-    if (const auto* asked = std::get_if<ping_message>(&body)) {
-        send(from, message.sender.info.id, ack_message{asked->sequence}, outputs);
+    if (const auto* ping_body = std::get_if<ping_message>(&body)) {
+        send(from, message.sender.info.id, ack_message{ping_body->sequence}, outputs);
     }
     else if (const auto* ack = std::get_if<ack_message>(&body)) {
         if (const auto found = relays_.find(ack->sequence); found != relays_.end()) {
@@ -129,8 +129,8 @@
     else if (const auto* request = std::get_if<ping_request_message>(&body)) {
         relay_ping(now, *request, message, from, outputs);
     }
-    else if (const auto* wanted = std::get_if<sync_request_message>(&body)) {
-        send_page(now, *wanted, message, from, outputs);
+    else if (const auto* sync_request = std::get_if<sync_request_message>(&body)) {
+        send_page(now, *sync_request, message, from, outputs);
     }
     else if (const auto* page = std::get_if<sync_page_message>(&body)) {
         take_page(now, *page, message);
@@ -171,8 +171,8 @@
     for (; at != table_.records().end() && members.size() < max_page_members; ++at) {
         const auto& record = at->second;
         // What will soon be forgotten is not handed on, so that it can't outlive its time from hand to hand.
-        const bool fading = !is_live(record) && now - record.since >= settings_.retention / 2;
-        if (record.second_hand || fading) {
+        const bool near_expiry = !is_live(record) && now - record.since >= settings_.retention / 2;
+        if (record.second_hand || near_expiry) {
             continue;
         }
         const auto size = size_bound(record.update);
@@ -222,9 +222,9 @@
     // a page for page comparison.
     // One that knows more members is asked soon: when many start together, news alone take too long.
     const bool knows_more = message.members_count > table_.live_count() + 1;
-    const auto patience = knows_more ? differs_before_sync_with_more : differs_before_sync;
-    const bool worth_it = !joined_ || now - since >= patience;
-    if (worth_it && sync_.peer.empty()) {
+    const auto sync_delay = knows_more ? mismatch_before_sync_with_larger : mismatch_before_sync;
+    const bool should_sync = !joined_ || now - since >= sync_delay;
+    if (should_sync && sync_.peer.empty()) {
         sync_ = {message.sender.info.id, {}, {}, false};
     }
 }
--- a/src/membership/membership_tick.cpp
+++ b/src/membership/membership_tick.cpp
@@ -12,11 +12,11 @@
 
 constexpr duration join_interval = 500ms;
 constexpr duration rejoin_interval = 10s;
-constexpr duration lost_interval = 5s;
+constexpr duration dead_probe_interval = 5s;
 constexpr duration page_interval = 250ms;
 constexpr duration page_timeout = 1s;
-constexpr std::size_t seeds_at_once = 4;
-constexpr std::size_t max_warnings = 8;
+constexpr std::size_t max_seeds_per_join = 4;
+constexpr std::size_t max_suspect_pings = 8;
 
 } // namespace
 
@@ -75,10 +75,10 @@
     }
     std::vector<member_record> overdue;
     for (const auto& [id, record] : table_.records()) {
-        const bool ours = record.update.state == member_state::suspect && same_region(record);
+        const bool in_own_region = record.update.state == member_state::suspect && same_region(record);
         // Those who did not ask it themselves leave the verdict to those who did.
-        const auto time = record.silent ? settings_.suspicion : 2 * settings_.suspicion;
-        if (ours && now - record.since >= time) {
+        const auto timeout = record.silent ? settings_.suspicion : 2 * settings_.suspicion;
+        if (in_own_region && now - record.since >= timeout) {
             overdue.push_back(record);
         }
     }
@@ -91,12 +91,13 @@
 {
     probe_->indirect = true;
     const auto target = probe_->target;
-    const auto helpers = table_.sample(random_, settings_.indirect_probes, [&](const member_record& record) {
-        return record.update.state == member_state::alive && same_region(record) &&
-               record.update.info.id != target;
-    });
-    for (const auto* helper : helpers) {
-        send(helper->update.info.gossip_address, helper->update.info.id,
+    const auto relay_peers =
+        table_.sample(random_, settings_.indirect_probes, [&](const member_record& record) {
+            return record.update.state == member_state::alive && same_region(record) &&
+                   record.update.info.id != target;
+        });
+    for (const auto* relay_peer : relay_peers) {
+        send(relay_peer->update.info.gossip_address, relay_peer->update.info.id,
              ping_request_message{probe_->sequence, target}, outputs);
     }
 }
@@ -124,7 +125,7 @@
 // come round to it would take most of the time that it has.
 void membership::warn_suspects(membership_outputs& outputs)
 {
-    const auto suspects = table_.sample(random_, max_warnings, [](const member_record& record) {
+    const auto suspects = table_.sample(random_, max_suspect_pings, [](const member_record& record) {
         return record.silent && record.update.state == member_state::suspect;
     });
     for (const auto* record : suspects) {
@@ -166,24 +167,24 @@
 {
     const auto key = stable_hash(self_.info.region.text());
     const auto own = rendezvous_score(key, self_.info.id.text());
-    std::uint32_t better = 0;
+    std::uint32_t higher_scores = 0;
     for (const auto& [id, record] : table_.records()) {
         if (record.update.state == member_state::alive && same_region(record) &&
             rendezvous_score(key, id.text()) > own) {
-            ++better;
+            ++higher_scores;
         }
     }
-    return better < settings_.bridges;
+    return higher_scores < settings_.bridges;
 }
 
 // One member of the other regions an interval. Its silence is no verdict: the regions may have lost each
 // other, and each judges its own.
 void membership::probe_other_regions(membership_outputs& outputs)
 {
-    const auto elsewhere = table_.sample(
+    const auto remote_members = table_.sample(
         random_, 1, [this](const member_record& record) { return is_live(record) && !same_region(record); });
-    if (!elsewhere.empty() && is_bridge()) {
-        ping(*elsewhere.front(), outputs);
+    if (!remote_members.empty() && is_bridge()) {
+        ping(*remote_members.front(), outputs);
     }
 }
 
@@ -193,11 +194,11 @@
     if (now < next_lost_) {
         return;
     }
-    next_lost_ = now + lost_interval;
-    const auto lost = table_.sample(
+    next_lost_ = now + dead_probe_interval;
+    const auto dead_members = table_.sample(
         random_, 1, [](const member_record& record) { return record.update.state == member_state::dead; });
-    if (!lost.empty()) {
-        ping(*lost.front(), outputs);
+    if (!dead_members.empty()) {
+        ping(*dead_members.front(), outputs);
     }
 }
 
@@ -206,9 +207,9 @@
     if (now < next_join_ || seeds_.empty()) {
         return;
     }
-    const bool alone = table_.live_count() == 0;
-    next_join_ = now + (alone ? join_interval : rejoin_interval);
-    const auto wanted = std::min(alone ? seeds_at_once : 1, seeds_.size());
+    const bool no_live_members = table_.live_count() == 0;
+    next_join_ = now + (no_live_members ? join_interval : rejoin_interval);
+    const auto wanted = std::min(no_live_members ? max_seeds_per_join : 1, seeds_.size());
     for (std::size_t count = 0; count < wanted; ++count) {
         const auto& address = seeds_[next_seed_++ % seeds_.size()];
         send(address, {}, ping_message{++sequence_}, outputs);
--- a/src/membership/news_queue.cpp
+++ b/src/membership/news_queue.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t fixed_drain_bytes = 24;
 
 template <typename Map>
-void make_room(Map& items, std::size_t bound)
+void evict_if_full(Map& items, std::size_t bound)
 {
     if (items.size() >= bound) {
         items.erase(std::max_element(items.begin(), items.end(), [](const auto& a, const auto& b) {
@@ -22,7 +22,7 @@
 
 // Iterators of the items, those told least often first; names break ties, so that the order repeats.
 template <typename Map>
-auto least_told(Map& items) -> std::vector<typename Map::iterator>
+auto least_sent_first(Map& items) -> std::vector<typename Map::iterator>
 {
     std::vector<typename Map::iterator> order;
     for (auto at = items.begin(); at != items.end(); ++at) {
@@ -38,7 +38,7 @@
 void news_queue::add(const member_update& update)
 {
     if (!members_.contains(update.info.id)) {
-        make_room(members_, max_members);
+        evict_if_full(members_, max_members);
     }
     members_[update.info.id] = {update, 0};
 }
@@ -46,14 +46,14 @@
 void news_queue::add(const drain_notice& word)
 {
     if (!drains_.contains(word.subject)) {
-        make_room(drains_, max_drains);
+        evict_if_full(drains_, max_drains);
     }
     drains_[word.subject] = {word, 0};
 }
 
 void news_queue::fill(datagram& message, std::size_t bytes, std::uint32_t times)
 {
-    for (const auto& at : least_told(drains_)) {
+    for (const auto& at : least_sent_first(drains_)) {
         const auto size = size_bound(at->second.word);
         if (size > bytes || message.drains.size() >= max_datagram_drains) {
             break;
@@ -64,7 +64,7 @@
             drains_.erase(at);
         }
     }
-    for (const auto& at : least_told(members_)) {
+    for (const auto& at : least_sent_first(members_)) {
         const auto size = size_bound(at->second.update);
         if (size > bytes || message.news.size() >= max_datagram_news) {
             break;
--- a/src/route/length_lanes.cpp
+++ b/src/route/length_lanes.cpp
@@ -15,13 +15,13 @@
 
 struct ranked_upstream
 {
-    std::size_t turn = 0; // place within its failure domain
+    std::size_t rank_in_domain = 0; // place within its failure domain
     std::uint64_t score = 0;
     std::size_t index = 0;
 };
 
-auto ranked(const model_id& model, std::span<const upstream_description> upstreams,
-            const std::vector<std::size_t>& serving) -> std::vector<ranked_upstream>
+auto rank_upstreams(const model_id& model, std::span<const upstream_description> upstreams,
+                    const std::vector<std::size_t>& serving) -> std::vector<ranked_upstream>
 {
     const std::uint64_t key = stable_hash(model.text());
     std::vector<ranked_upstream> order;
@@ -32,12 +32,12 @@
     std::sort(order.begin(), order.end(), [](const auto& a, const auto& b) {
         return std::tie(b.score, a.index) < std::tie(a.score, b.index);
     });
-    std::map<failure_domain_id, std::size_t> turns;
+    std::map<failure_domain_id, std::size_t> domain_counts;
     for (auto& each : order) {
-        each.turn = turns[upstreams[each.index].failure_domain]++;
+        each.rank_in_domain = domain_counts[upstreams[each.index].failure_domain]++;
     }
     std::stable_sort(order.begin(), order.end(),
-                     [](const auto& a, const auto& b) { return a.turn < b.turn; });
+                     [](const auto& a, const auto& b) { return a.rank_in_domain < b.rank_in_domain; });
     return order;
 }
 
@@ -53,10 +53,10 @@
         }
     }
     for (const auto& [model, members] : serving) {
-        const auto wanted =
+        const auto reserved_count =
             static_cast<std::size_t>(std::lround(share * static_cast<double>(members.size())));
-        const auto order = ranked(model, upstreams, members);
-        for (std::size_t i = 0; i < std::min(wanted, members.size() - 1); ++i) {
+        const auto order = rank_upstreams(model, upstreams, members);
+        for (std::size_t i = 0; i < std::min(reserved_count, members.size() - 1); ++i) {
             upstreams[order[i].index].takes_bulk = false;
         }
     }
--- a/src/route/predicted_first_token.cpp
+++ b/src/route/predicted_first_token.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr double microseconds = 1e6;
+constexpr double microseconds_per_second = 1e6;
 
 auto mix(std::uint64_t key, std::uint64_t name_hash) -> std::uint64_t
 {
@@ -20,7 +20,7 @@
     return z ^ (z >> 31U);
 }
 
-auto work_on(const upstream_record& record) -> double
+auto queued_prefill(const upstream_record& record) -> double
 {
     return static_cast<double>(record.queue_ahead(length_class::gang));
 }
@@ -42,24 +42,24 @@
     prefixes.lookup(request.blocks, matches_);
     cost_all(now, request);
     const upstream_record* home = home_of(request);
-    const bool credit = home != nullptr && home_has_room(*home, request);
-    if (credit) {
-        const auto of_home = [home](const costed& each) { return each.record == home; };
-        auto& entry = *std::find_if(costs_.begin(), costs_.end(), of_home);
+    const bool has_home_credit = home != nullptr && home_has_room(*home, request);
+    if (has_home_credit) {
+        const auto is_home = [home](const costed& each) { return each.record == home; };
+        auto& entry = *std::find_if(costs_.begin(), costs_.end(), is_home);
         const auto blocks = static_cast<double>(std::min(settings_.home_blocks, request.blocks.size()));
         const auto assumed = static_cast<token_count>(blocks * settings_.home_credit * double(block_tokens));
         entry.cost = std::min(entry.cost, cost_of(now, request, *home, std::max(entry.cached, assumed)));
     }
     const costed& best = pick(request);
     route_reason reason =
-        home != nullptr && !credit ? route_reason::left_home : route_reason::least_predicted;
+        home != nullptr && !has_home_credit ? route_reason::left_home : route_reason::least_predicted;
     if (list_.upstreams.size() == 1) {
         reason = route_reason::only_candidate;
     }
     else if (best.cached > 0) {
         reason = route_reason::prefix_cached;
     }
-    else if (credit && best.record == home) {
+    else if (has_home_credit && best.record == home) {
         reason = route_reason::prefix_home;
     }
     else if (best.record->load().cold) {
@@ -92,16 +92,17 @@
         time += static_cast<double>(settings_.unknown_penalty.count());
     }
     const auto running = static_cast<double>(record.running());
-    const double own = static_cast<double>(prefill) / std::max(1.0, description.prefill_rate) * microseconds;
+    const double own =
+        static_cast<double>(prefill) / std::max(1.0, description.prefill_rate) * microseconds_per_second;
     const double harm = settings_.harm_weight * running * own;
     const double decode = settings_.decode_weight * slower_decode(request, record);
     const bool fits = record.memory_free() >= request.prompt_tokens + request.max_tokens;
-    const double wait_for_memory =
-        fits ? 0.0 : work_on(record) / description.prefill_rate * microseconds + own;
-    const bool apart = !description.takes_bulk && size > length_class::interactive;
-    const double intrusion = apart ? settings_.reserved_weight * own : 0.0;
-    const auto way = static_cast<double>(distance(record).count());
-    return time + harm + decode + wait_for_memory + intrusion + way;
+    const double memory_wait =
+        fits ? 0.0 : queued_prefill(record) / description.prefill_rate * microseconds_per_second + own;
+    const bool uses_reserved = !description.takes_bulk && size > length_class::interactive;
+    const double reserved_cost = uses_reserved ? settings_.reserved_weight * own : 0.0;
+    const auto round_trip = static_cast<double>(distance(record).count());
+    return time + harm + decode + memory_wait + reserved_cost + round_trip;
 }
 
 auto predicted_first_token::slower_decode(const route_request& request, const upstream_record& record) const
@@ -113,8 +114,8 @@
     const double growth = static_cast<double>(description.decode_step_growth.count());
     const double batch = steps * growth * static_cast<double>(record.running());
     // Each step that also prefills a chunk of a longer prompt takes that much longer.
-    const double chunks = std::min(steps, work_on(record) / chunk);
-    return batch + chunks * chunk / std::max(1.0, description.prefill_rate) * microseconds;
+    const double chunks = std::min(steps, queued_prefill(record) / chunk);
+    return batch + chunks * chunk / std::max(1.0, description.prefill_rate) * microseconds_per_second;
 }
 
 auto predicted_first_token::distance(const upstream_record& record) const -> duration
@@ -141,10 +142,10 @@
         return nullptr;
     }
     const std::uint64_t key = request.blocks[settings_.home_blocks - 1];
-    const auto lower = [key](const costed& a, const costed& b) {
+    const auto has_lower_score = [key](const costed& a, const costed& b) {
         return mix(key, a.record->name_hash()) < mix(key, b.record->name_hash());
     };
-    return std::max_element(costs_.begin(), costs_.end(), lower)->record;
+    return std::max_element(costs_.begin(), costs_.end(), has_lower_score)->record;
 }
 
 auto predicted_first_token::home_has_room(const upstream_record& home, const route_request& request) const
@@ -152,26 +153,26 @@
 {
     double sum = static_cast<double>(request.prompt_tokens);
     for (const auto& each : costs_) {
-        sum += work_on(*each.record);
+        sum += queued_prefill(*each.record);
     }
     const double bound = settings_.home_load_bound * sum / static_cast<double>(costs_.size());
-    return work_on(home) <= std::max(bound, static_cast<double>(interactive_limit));
+    return queued_prefill(home) <= std::max(bound, static_cast<double>(interactive_limit));
 }
 
 auto predicted_first_token::pick(const route_request& request) const -> const costed&
 {
-    double least = costs_.front().cost;
+    double least_cost = costs_.front().cost;
     for (const auto& each : costs_) {
-        least = std::min(least, each.cost);
+        least_cost = std::min(least_cost, each.cost);
     }
-    const double limit = least * (1.0 + settings_.tie);
+    const double tie_limit = least_cost * (1.0 + settings_.tie);
     const std::uint64_t key = stable_hash(request.id.text());
     const costed* best = nullptr;
     for (const auto& each : costs_) {
-        const bool near = each.cost <= limit;
+        const bool is_tied = each.cost <= tie_limit;
         const bool better =
             best == nullptr || mix(key, each.record->name_hash()) > mix(key, best->record->name_hash());
-        best = near && better ? &each : best;
+        best = is_tied && better ? &each : best;
     }
     return *best;
 }
--- a/src/route/prefix_map.cpp
+++ b/src/route/prefix_map.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 constexpr double trust_after_gap = 0.5;
-constexpr double least_trust = 0.1;
+constexpr double min_trust = 0.1;
 /// Blocks that a lost event concerned are evicted in time, by events that are seen: so trust comes back
 /// slowly.
-constexpr double trust_regained = 0.01;
+constexpr double trust_recovery_rate = 0.01;
 
 } // namespace
 
@@ -45,8 +45,8 @@
     }
     const bool gap = state.sequence != 0 && event.sequence != state.sequence + 1;
     state.sequence = event.sequence;
-    state.trust = gap ? std::max(least_trust, state.trust * trust_after_gap)
-                      : state.trust + trust_regained * (1.0 - state.trust);
+    state.trust = gap ? std::max(min_trust, state.trust * trust_after_gap)
+                      : state.trust + trust_recovery_rate * (1.0 - state.trust);
     for (const auto block : event.blocks) {
         if (event.kind == cache_event_kind::stored) {
             add(block, holder);
@@ -72,9 +72,9 @@
 void prefix_map::lookup(std::span<const block_hash> blocks, std::vector<prefix_match>& matches) const
 {
     matches.clear();
-    std::array<slot, max_holders> walking{};
-    walking.fill(no_slot);
-    std::array<token_count, max_holders> reached{};
+    std::array<slot, max_holders> candidates{};
+    candidates.fill(no_slot);
+    std::array<token_count, max_holders> matched_blocks{};
     for (std::size_t i = 0; i < blocks.size(); ++i) {
         const auto found = index_.find(blocks[i]);
         if (found == index_.end()) {
@@ -82,24 +82,25 @@
         }
         const auto& holders = entries_[found->second].holders;
         if (i == 0) {
-            walking = holders;
+            candidates = holders;
         }
-        bool any = false;
+        bool any_extended = false;
         for (std::size_t h = 0; h < max_holders; ++h) {
-            const bool unbroken = walking[h] != no_slot && reached[h] == static_cast<token_count>(i);
-            if (unbroken && std::find(holders.begin(), holders.end(), walking[h]) != holders.end()) {
-                ++reached[h];
-                any = true;
+            const bool is_contiguous =
+                candidates[h] != no_slot && matched_blocks[h] == static_cast<token_count>(i);
+            if (is_contiguous && std::find(holders.begin(), holders.end(), candidates[h]) != holders.end()) {
+                ++matched_blocks[h];
+                any_extended = true;
             }
         }
-        if (!any) {
+        if (!any_extended) {
             break;
         }
     }
     for (std::size_t h = 0; h < max_holders; ++h) {
-        if (reached[h] > 0) {
-            const auto& state = holders_[walking[h]];
-            const double tokens = static_cast<double>(reached[h] * block_tokens) * state.trust;
+        if (matched_blocks[h] > 0) {
+            const auto& state = holders_[candidates[h]];
+            const double tokens = static_cast<double>(matched_blocks[h] * block_tokens) * state.trust;
             matches.push_back({state.name_hash, static_cast<token_count>(tokens)});
         }
     }
--- a/src/route/subset.cpp
+++ b/src/route/subset.cpp
@@ -14,35 +14,36 @@
 
 struct scored_upstream
 {
-    bool far = false;
-    std::size_t turn = 0; // place within its failure domain
+    bool other_region = false;
+    std::size_t rank_in_domain = 0; // place within its failure domain
     std::uint64_t score = 0;
     std::size_t index = 0;
 };
 
 /// The upstreams of one model in the order in which this gateway takes them.
-auto order_of(const subset_settings& settings, std::span<const upstream_description> upstreams,
-              const std::vector<std::size_t>& serving) -> std::vector<scored_upstream>
+auto rank_upstreams(const subset_settings& settings, std::span<const upstream_description> upstreams,
+                    const std::vector<std::size_t>& serving) -> std::vector<scored_upstream>
 {
     const std::uint64_t key = stable_hash(settings.gateway.text());
     std::map<failure_domain_id, std::vector<scored_upstream>> domains;
     for (const auto i : serving) {
-        const bool far = upstreams[i].region != settings.region;
+        const bool other_region = upstreams[i].region != settings.region;
         domains[upstreams[i].failure_domain].push_back(
-            {far, 0, rendezvous_score(key, upstreams[i].id.text()), i});
+            {other_region, 0, rendezvous_score(key, upstreams[i].id.text()), i});
     }
     std::vector<scored_upstream> order;
     for (auto& [domain, members] : domains) {
         std::sort(members.begin(), members.end(), [](const auto& a, const auto& b) {
             return std::tie(b.score, a.index) < std::tie(a.score, b.index);
         });
-        for (std::size_t turn = 0; turn < members.size(); ++turn) {
-            members[turn].turn = turn;
-            order.push_back(members[turn]);
+        for (std::size_t rank_in_domain = 0; rank_in_domain < members.size(); ++rank_in_domain) {
+            members[rank_in_domain].rank_in_domain = rank_in_domain;
+            order.push_back(members[rank_in_domain]);
         }
     }
     std::sort(order.begin(), order.end(), [](const auto& a, const auto& b) {
-        return std::tie(a.far, a.turn, b.score, a.index) < std::tie(b.far, b.turn, a.score, b.index);
+        return std::tie(a.other_region, a.rank_in_domain, b.score, a.index) <
+               std::tie(b.other_region, b.rank_in_domain, a.score, b.index);
     });
     return order;
 }
@@ -60,9 +61,9 @@
     }
     std::set<std::size_t> chosen;
     for (const auto& [model, members] : serving) {
-        const auto order = order_of(settings, upstreams, members);
-        const std::size_t wanted = std::min(settings.per_model, order.size());
-        for (std::size_t i = 0; i < wanted && chosen.size() < settings.max_upstreams; ++i) {
+        const auto order = rank_upstreams(settings, upstreams, members);
+        const std::size_t subset_size = std::min(settings.per_model, order.size());
+        for (std::size_t i = 0; i < subset_size && chosen.size() < settings.max_upstreams; ++i) {
             chosen.insert(order[i].index);
         }
     }
--- a/src/route/upstream_record.cpp
+++ b/src/route/upstream_record.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr double slowness_weight = 0.1;
-constexpr double least_slowness = 0.5;
-constexpr double most_slowness = 8.0;
-constexpr duration shortest_prediction{1'000};
+constexpr double slowness_smoothing = 0.1;
+constexpr double min_slowness = 0.5;
+constexpr double max_slowness = 8.0;
+constexpr duration min_prediction{1'000};
 
 template <typename Id>
 auto contains(const std::vector<Id>& sorted, const Id& id) -> bool
@@ -94,16 +94,16 @@
     for (const auto tokens : own_unreported_) {
         unreported += tokens;
     }
-    const token_count taken = load_.outstanding + unreported;
-    return taken > 0 && taken + cost > load_.allowed;
+    const token_count committed = load_.outstanding + unreported;
+    return committed > 0 && committed + cost > load_.allowed;
 }
 
 void upstream_record::report(instant now, const upstream_load& load)
 {
     const instant measured = now - load.age;
     const bool restarted = has_load_ && load.start > load_.start;
-    const bool outdated = has_load_ && (load.start < load_.start || (!restarted && measured < measured_at_));
-    if (outdated) {
+    const bool is_stale = has_load_ && (load.start < load_.start || (!restarted && measured < measured_at_));
+    if (is_stale) {
         return; // late, doubled or overtaken on its way: it would undo a newer word
     }
     if (restarted) {
@@ -141,11 +141,11 @@
     note_prefilled(now, *own);
     ++own_decoding_;
     own_context_ += own->work.context;
-    const auto predicted = std::max(own->work.predicted_first_token, shortest_prediction);
+    const auto predicted = std::max(own->work.predicted_first_token, min_prediction);
     const double ratio =
         static_cast<double>((now - own->sent_at).count()) / static_cast<double>(predicted.count());
     double& slowness = slowness_[index_of(own->work.size)];
-    slowness += slowness_weight * (std::clamp(ratio, least_slowness, most_slowness) - slowness);
+    slowness += slowness_smoothing * (std::clamp(ratio, min_slowness, max_slowness) - slowness);
 }
 
 void upstream_record::finished(instant now, const request_id& request, attempt_number attempt)
--- a/src/route/upstream_table.cpp
+++ b/src/route/upstream_table.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-auto by_name(const upstream_record& record, const upstream_id& id) -> bool
+auto has_lower_name(const upstream_record& record, const upstream_id& id) -> bool
 {
     return record.description().id < id;
 }
 
 /// How near a request came to being taken; the nearest obstacle is the one to tell the caller.
-auto nearness(refusal_code obstacle) -> int
+auto obstacle_rank(refusal_code obstacle) -> int
 {
     switch (obstacle) {
     case refusal_code::upstream_cold:
@@ -63,8 +63,8 @@
     }
     std::sort(descriptions.begin(), descriptions.end(),
               [](const auto& a, const auto& b) { return a.id < b.id; });
-    const auto same_name = [](const auto& a, const auto& b) { return a.id == b.id; };
-    if (std::adjacent_find(descriptions.begin(), descriptions.end(), same_name) != descriptions.end()) {
+    const auto have_same_name = [](const auto& a, const auto& b) { return a.id == b.id; };
+    if (std::adjacent_find(descriptions.begin(), descriptions.end(), have_same_name) != descriptions.end()) {
         return error(error_kind::invalid_input, "an upstream is listed twice",
                      "give each upstream its own name");
     }
@@ -154,21 +154,21 @@
 {
     list.upstreams.clear();
     list.obstacle = refusal_code::no_route;
-    bool alive = false;
+    bool any_alive = false;
     for (const auto& record : records_) {
         if (!record.serves(request.model, request.adapter)) {
             continue;
         }
         const refusal_code obstacle = obstacle_of(record, request);
         if (obstacle == refusal_code::internal) {
-            alive = alive || record.state() == upstream_state::alive;
+            any_alive = any_alive || record.state() == upstream_state::alive;
             list.upstreams.push_back(&record);
         }
-        else if (nearness(obstacle) > nearness(list.obstacle)) {
+        else if (obstacle_rank(obstacle) > obstacle_rank(list.obstacle)) {
             list.obstacle = obstacle;
         }
     }
-    if (alive) {
+    if (any_alive) {
         std::erase_if(list.upstreams, [](const auto* r) { return r->state() == upstream_state::suspect; });
     }
 }
@@ -177,16 +177,18 @@
 {
     std::vector<std::size_t> due;
     for (std::size_t i = 0; i < records_.size(); ++i) {
-        const bool old = !records_[i].has_load() || records_[i].load_age(now) >= settings_.probe_interval;
-        const bool asked = probed_at_[i] != instant{} && now - probed_at_[i] < settings_.probe_interval;
-        if (old && !asked && records_[i].state() != upstream_state::dead) {
+        const bool is_stale =
+            !records_[i].has_load() || records_[i].load_age(now) >= settings_.probe_interval;
+        const bool recently_probed =
+            probed_at_[i] != instant{} && now - probed_at_[i] < settings_.probe_interval;
+        if (is_stale && !recently_probed && records_[i].state() != upstream_state::dead) {
             due.push_back(i);
         }
     }
-    const auto older = [this, now](std::size_t a, std::size_t b) {
+    const auto has_older_load = [this, now](std::size_t a, std::size_t b) {
         return records_[a].load_age(now) > records_[b].load_age(now);
     };
-    std::stable_sort(due.begin(), due.end(), older);
+    std::stable_sort(due.begin(), due.end(), has_older_load);
     due.resize(std::min(due.size(), settings_.max_probes));
     std::vector<upstream_id> names;
     for (const auto i : due) {
@@ -198,7 +200,7 @@
 
 auto upstream_table::find(const upstream_id& upstream) const -> const upstream_record*
 {
-    const auto found = std::lower_bound(records_.begin(), records_.end(), upstream, by_name);
+    const auto found = std::lower_bound(records_.begin(), records_.end(), upstream, has_lower_name);
     return found == records_.end() || found->description().id != upstream ? nullptr : &*found;
 }
 
--- a/tests/drain/drain_state_test.cpp
+++ b/tests/drain/drain_state_test.cpp
@@ -11,7 +11,7 @@
 const failure_domain_id domain_a("a");
 const host_id host_1("h1");
 
-auto out_since(duration since, drain_source by) -> std::optional<drain_status>
+auto drained_since(duration since, drain_source by) -> std::optional<drain_status>
 {
     return drain_status{instant{} + since, by};
 }
@@ -33,9 +33,9 @@
     cr_assert(state.accepts_new_work(domain_a, host_1));
     cr_assert(state.operator_said(instant{} + 1s, {domain_a, 1, true}));
     state.bundle_adopted(instant{} + 3s, bundle_with(2, false));
-    cr_assert(state.status(domain_a) == out_since(1s, drain_source::operators));
+    cr_assert(state.status(domain_a) == drained_since(1s, drain_source::operators));
     cr_assert(state.operator_said(instant{} + 4s, {domain_a, 2, false}));
-    cr_assert(state.status(domain_a) == out_since(3s, drain_source::bundle));
+    cr_assert(state.status(domain_a) == drained_since(3s, drain_source::bundle));
     state.bundle_adopted(instant{} + 5s, bundle_with(3, true));
     cr_assert(state.accepts_new_work(domain_a, host_1));
     cr_assert(state.next_number(domain_a) == 3);
@@ -99,7 +99,7 @@
     state.process_heard(instant{}, host_1, incarnation(5), false);
     state.process_heard(instant{} + 1s, host_1, incarnation(5), true);
     state.host_list_read(instant{} + 2s, {{host_1, false, ""}});
-    cr_assert(state.status(host_1) == out_since(1s, drain_source::own_process));
+    cr_assert(state.status(host_1) == drained_since(1s, drain_source::own_process));
 }
 
 FAULT_CELL(drain_leave, config_down)
@@ -218,7 +218,7 @@
     state.bundle_adopted(instant{} + 1s, bundle_with(8, false));
     state.bundle_adopted(instant{} + 2s, bundle_with(7, true));
     cr_assert(!state.accepts_new_work(domain_a, host_1));
-    cr_assert(state.status(domain_a) == out_since(1s, drain_source::bundle));
+    cr_assert(state.status(domain_a) == drained_since(1s, drain_source::bundle));
 }
 
 FAULT_CELL(drain_leave, two_faults)
@@ -228,28 +228,28 @@
     // it.
     drain_state peer;
     cr_assert(peer.operator_said(instant{}, {domain_a, 4, true}));
-    drain_state anew;
-    anew.host_list_read(instant{} + 1s, {{host_1, false, ""}});
+    drain_state restarted;
+    restarted.host_list_read(instant{} + 1s, {{host_1, false, ""}});
     for (const auto& word : peer.words()) {
-        cr_assert(anew.operator_said(instant{} + 2s, word));
+        cr_assert(restarted.operator_said(instant{} + 2s, word));
     }
-    anew.host_list_read(instant{} + 3s, {{host_1, false, ""}});
-    anew.process_heard(instant{} + 3s, host_1, incarnation(9), false);
-    cr_assert(!anew.accepts_new_work(domain_a, host_1));
-    cr_assert(anew.next_number(domain_a) == 5, "an operator's next word counts here as well");
+    restarted.host_list_read(instant{} + 3s, {{host_1, false, ""}});
+    restarted.process_heard(instant{} + 3s, host_1, incarnation(9), false);
+    cr_assert(!restarted.accepts_new_work(domain_a, host_1));
+    cr_assert(restarted.next_number(domain_a) == 5, "an operator's next word counts here as well");
 }
 
 FAULT_CELL(drain_return, process_dies)
 {
     // A sidecar starts anew just after its domain came back. One peer tells it of the return, and one that
     // lags of the leaving. In either order it must take work, or the domain stays idle.
-    for (const bool lagging_first : {true, false}) {
-        drain_state anew;
+    for (const bool stale_first : {true, false}) {
+        drain_state restarted;
         const drain_notice out{domain_a, 1, true};
         const drain_notice back{domain_a, 2, false};
-        static_cast<void>(anew.operator_said(instant{}, lagging_first ? out : back));
-        static_cast<void>(anew.operator_said(instant{} + 1s, lagging_first ? back : out));
-        cr_assert(anew.accepts_new_work(domain_a, host_1));
+        static_cast<void>(restarted.operator_said(instant{}, stale_first ? out : back));
+        static_cast<void>(restarted.operator_said(instant{} + 1s, stale_first ? back : out));
+        cr_assert(restarted.accepts_new_work(domain_a, host_1));
     }
 }
 
@@ -257,14 +257,14 @@
 {
     // The word that a domain is back gets lost on its way to one gateway, which would leave it idle for good.
     // The word isn't told once: every process keeps it and tells it again when asked for what it knows.
-    drain_state told;
+    drain_state informed;
     drain_state missed;
-    for (auto* each : {&told, &missed}) {
+    for (auto* each : {&informed, &missed}) {
         cr_assert(each->operator_said(instant{}, {domain_a, 1, true}));
     }
-    cr_assert(told.operator_said(instant{} + 1s, {domain_a, 2, false}));
+    cr_assert(informed.operator_said(instant{} + 1s, {domain_a, 2, false}));
     cr_assert(!missed.accepts_new_work(domain_a, host_1));
-    for (const auto& word : told.words()) {
+    for (const auto& word : informed.words()) {
         static_cast<void>(missed.operator_said(instant{} + 60s, word));
     }
     cr_assert(missed.accepts_new_work(domain_a, host_1));
@@ -290,7 +290,7 @@
     state.bundle_adopted(instant{}, bundle_with(2, false));
     cr_assert(state.operator_said(instant{} + 1s, {domain_a, 1, true}));
     cr_assert(state.operator_said(instant{} + 2s, {domain_a, 2, false}));
-    cr_assert(state.status(domain_a) == out_since(0s, drain_source::bundle));
+    cr_assert(state.status(domain_a) == drained_since(0s, drain_source::bundle));
     state.bundle_adopted(instant{} + 3s, bundle_with(3, true));
     cr_assert(state.accepts_new_work(domain_a, host_1));
 }
--- a/tests/membership/datagram_test.cpp
+++ b/tests/membership/datagram_test.cpp
@@ -2,7 +2,7 @@
 
 #include "control/datagram_codec.h"
 #include "dragonflymill/core/random_source.h"
-#include "member_world.h"
+#include "membership_fixture.h"
 
 #include <criterion/criterion.h>
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-auto long_info() -> member_info
+auto make_longest_info() -> member_info
 {
     const std::string name(max_member_name, 'n');
     member_info info;
@@ -24,10 +24,10 @@
     return info;
 }
 
-auto sample() -> datagram
+auto sample_datagram() -> datagram
 {
     datagram message;
-    message.sender = {long_info(), member_state::alive, {incarnation(7), 3}};
+    message.sender = {make_longest_info(), member_state::alive, {incarnation(7), 3}};
     message.receiver = process_id("p1");
     message.counter = 9;
     message.body = ping_request_message{5, process_id("p2")};
@@ -52,7 +52,7 @@
                                             sync_page_message{},
                                             announce_message{}};
     for (const auto& body : bodies) {
-        auto message = sample();
+        auto message = sample_datagram();
         message.body = body;
         cr_assert(decode_datagram(encode_datagram(message)).value() == message);
     }
@@ -61,24 +61,24 @@
 Test(datagram, the_longest_names_stay_in_one_frame)
 {
     membership_settings settings;
-    settings.self = long_info();
+    settings.self = make_longest_info();
     settings.seeds = {"a"};
-    membership busy(settings, 1, instant{});
+    membership member(settings, 1, instant{});
     for (int number = 0; number < 200; ++number) {
-        auto other = sample();
+        auto other = sample_datagram();
         other.receiver = {};
         other.sender.info.id = process_id(std::to_string(number) + std::string(36, 'x'));
         other.sender.state = number % 2 == 0 ? member_state::alive : member_state::leaving;
         other.body = number % 3 == 0 ? datagram_body(sync_request_message{}) : datagram_body(ping_message{1});
-        busy.set_word(bundle_notice{bundle_version(1), sha256("x")});
-        busy.set_drains(other.drains);
-        for (const auto& output : busy.receive(instant{} + 1s * number, other, "a")) {
+        member.set_word(bundle_notice{bundle_version(1), sha256("x")});
+        member.set_drains(other.drains);
+        for (const auto& output : member.receive(instant{} + 1s * number, other, "a")) {
             if (const auto* sent = std::get_if<send_datagram>(&output)) {
                 const auto size = encode_datagram(sent->message).size() + datagram_seal::size;
                 cr_assert(size <= max_datagram_bytes, "%zu", size);
             }
         }
-        static_cast<void>(busy.tick(instant{} + 1s * number));
+        static_cast<void>(member.tick(instant{} + 1s * number));
     }
 }
 
@@ -87,7 +87,7 @@
     const auto seal = datagram_seal::create({"0123456789abcdef"}).value();
     const auto other = datagram_seal::create({"fedcba9876543210"}).value();
     const auto both = datagram_seal::create({"fedcba9876543210", "0123456789abcdef"}).value();
-    const auto bytes = encode_datagram(sample());
+    const auto bytes = encode_datagram(sample_datagram());
     cr_assert(seal.open(seal.seal(bytes)).value() == bytes);
     cr_assert(both.open(seal.seal(bytes)).value() == bytes, "while the key is being changed");
     cr_assert(seal.open(other.seal(bytes)).has_error());
--- a/tests/membership/member_world.h
+++ b/tests/membership/membership_fixture.h
@@ -20,20 +20,20 @@
 
 /// A few memberships and a bag of datagrams. Process `i` has the address `i` and stands in failure domain
 /// `i mod 3`; those from `far_from` on stand in another region.
-class member_world
+class membership_fixture
 {
 public:
     static constexpr duration tick_length = 100ms;
 
-    member_world(std::size_t size, std::uint64_t seed, message_bag_rules rules = {},
-                 std::size_t far_from = 99)
+    membership_fixture(std::size_t size, std::uint64_t seed, message_bag_rules rules = {},
+                       std::size_t second_region_from = 99)
         : members(size)
-        , side(size, 0)
+        , partition(size, 0)
         , paused(size, false)
         , down(size, false)
         , superseded_count(size, 0)
         , bag(seed, rules)
-        , far_from_(far_from)
+        , second_region_from_(second_region_from)
         , seed_(seed)
     {
         for (std::size_t at = 0; at < size; ++at) {
@@ -48,7 +48,7 @@
     {
         membership_settings settings;
         settings.self.id = name(at);
-        settings.self.region = region_id(at < far_from_ ? "north" : "south");
+        settings.self.region = region_id(at < second_region_from_ ? "north" : "south");
         settings.self.domain = failure_domain_id("d" + std::to_string(at % 3));
         settings.self.host = host_id("h" + std::to_string(at));
         settings.self.gossip_address = std::to_string(at);
@@ -66,8 +66,8 @@
         while (now < end) {
             now += tick_length;
             for (std::size_t at = 0; at < members.size(); ++at) {
-                if (up(at)) {
-                    act(at, members[at]->tick(now));
+                if (is_running(at)) {
+                    apply_outputs(at, members[at]->tick(now));
                 }
             }
             deliver();
@@ -80,34 +80,34 @@
     }
 
     /// What `at` believes about `about`; dead if it does not know it.
-    [[nodiscard]] auto belief(std::size_t at, std::size_t about) const -> member_state
+    [[nodiscard]] auto observed_state(std::size_t at, std::size_t about) const -> member_state
     {
         const auto* record = members[at]->table().find(name(about));
         return record == nullptr ? member_state::dead : record->update.state;
     }
     /// Whether every running process other than `about` believes it to be in that state.
-    [[nodiscard]] auto all_believe(std::size_t about, member_state state) const -> bool
+    [[nodiscard]] auto all_observe(std::size_t about, member_state state) const -> bool
     {
         for (std::size_t at = 0; at < members.size(); ++at) {
-            if (at != about && up(at) && belief(at, about) != state) {
+            if (at != about && is_running(at) && observed_state(at, about) != state) {
                 return false;
             }
         }
         return true;
     }
     /// Whether every running process believes every running process to be alive.
-    [[nodiscard]] auto all_alive() const -> bool
+    [[nodiscard]] auto all_observe_all_alive() const -> bool
     {
         for (std::size_t about = 0; about < members.size(); ++about) {
-            if (up(about) && !all_believe(about, member_state::alive)) {
+            if (is_running(about) && !all_observe(about, member_state::alive)) {
                 return false;
             }
         }
         return true;
     }
-    [[nodiscard]] auto up(std::size_t at) const -> bool { return !down[at] && !paused[at]; }
+    [[nodiscard]] auto is_running(std::size_t at) const -> bool { return !down[at] && !paused[at]; }
 
-    void act(std::size_t at, const membership_outputs& outputs)
+    void apply_outputs(std::size_t at, const membership_outputs& outputs)
     {
         for (const auto& output : outputs) {
             if (const auto* sent = std::get_if<send_datagram>(&output)) {
@@ -125,7 +125,7 @@
 
     instant now{};
     std::vector<std::optional<membership>> members;
-    std::vector<int> side;
+    std::vector<int> partition;
     std::vector<bool> paused;
     std::vector<bool> down;
     std::vector<int> superseded_count;
@@ -138,14 +138,14 @@
     {
         const auto ready = [this](const member_message& message) { return !paused[message.to]; };
         for (auto message = bag.take(now, ready); message; message = bag.take(now, ready)) {
-            if (!down[message->to] && side[message->from] == side[message->to]) {
-                act(message->to,
-                    members[message->to]->receive(now, message->content, std::to_string(message->from)));
+            if (!down[message->to] && partition[message->from] == partition[message->to]) {
+                apply_outputs(message->to, members[message->to]->receive(now, message->content,
+                                                                         std::to_string(message->from)));
             }
         }
     }
 
-    std::size_t far_from_;
+    std::size_t second_region_from_;
     std::uint64_t seed_;
 };
 
--- a/tests/membership/membership_schedule_test.cpp
+++ b/tests/membership/membership_schedule_test.cpp
@@ -1,4 +1,4 @@
-#include "member_world.h"
+#include "membership_fixture.h"
 #include "support/schedule_seeds.h"
 
 #include <algorithm>
@@ -20,32 +20,33 @@
 public:
     explicit member_schedule(std::uint64_t seed)
         : world_(size, seed, {.drop = 0.15, .duplicate = 0.1, .late = 0.05})
-        , draw_(seed * 17)
+        , random_(seed * 17)
     {
     }
 
     auto run() -> std::optional<std::string>
     {
         world_.run(20s);
-        for (int step = 0; step < steps && !broken_; ++step) {
-            fault();
-            world_.run(500ms * static_cast<std::int64_t>(1 + draw_.below(12)), [this] { check(); });
+        for (int step = 0; step < steps && !violation_; ++step) {
+            inject_fault();
+            world_.run(500ms * static_cast<std::int64_t>(1 + random_.below(12)),
+                       [this] { check_leaving_is_final(); });
         }
-        heal();
-        world_.run(90s, [this] { check(); });
-        if (!broken_ && !world_.all_alive()) {
-            broken_ = "not all found each other after the faults ended:" + beliefs();
+        end_faults();
+        world_.run(90s, [this] { check_leaving_is_final(); });
+        if (!violation_ && !world_.all_observe_all_alive()) {
+            violation_ = "not all found each other after the faults ended:" + describe_mismatches();
         }
-        return broken_;
+        return violation_;
     }
 
 private:
-    [[nodiscard]] auto beliefs() const -> std::string
+    [[nodiscard]] auto describe_mismatches() const -> std::string
     {
         std::string text;
         for (std::size_t at = 0; at < size; ++at) {
             for (std::size_t about = 0; about < size; ++about) {
-                const auto state = world_.belief(at, about);
+                const auto state = world_.observed_state(at, about);
                 if (at != about && state != member_state::alive) {
                     text += " " + std::to_string(at) + " believes " + std::to_string(about) + " " +
                             to_string(state);
@@ -55,10 +56,10 @@
         return text;
     }
 
-    void fault()
+    void inject_fault()
     {
-        const auto at = draw_.below(size);
-        switch (draw_.below(5)) {
+        const auto at = random_.below(size);
+        switch (random_.below(5)) {
         case 0:
             world_.paused[at] = !world_.paused[at];
             break;
@@ -66,15 +67,15 @@
             restart(at);
             break;
         case 2:
-            if (world_.up(at)) {
-                world_.act(at, world_.members[at]->leave());
+            if (world_.is_running(at)) {
+                world_.apply_outputs(at, world_.members[at]->leave());
             }
             break;
         case 3:
             world_.down[at] = true;
             break;
         default:
-            world_.side[at] = world_.side[at] == 0 ? 1 : 0;
+            world_.partition[at] = world_.partition[at] == 0 ? 1 : 0;
             break;
         }
     }
@@ -84,14 +85,14 @@
         world_.paused[at] = false;
         start_ += 1'000;
         world_.start(at, start_);
-        std::fill_n(left_.begin() + static_cast<std::ptrdiff_t>(at * size), size, incarnation());
+        std::fill_n(leaving_start_.begin() + static_cast<std::ptrdiff_t>(at * size), size, incarnation());
     }
 
-    void heal()
+    void end_faults()
     {
         world_.bag.change({});
         for (std::size_t at = 0; at < size; ++at) {
-            world_.side[at] = 0;
+            world_.partition[at] = 0;
             world_.paused[at] = false;
             if (world_.down[at] || world_.members[at]->self().state == member_state::leaving) {
                 restart(at);
@@ -99,32 +100,33 @@
         }
     }
 
-    void check()
+    void check_leaving_is_final()
     {
         for (std::size_t at = 0; at < size; ++at) {
             for (std::size_t about = 0; about < size; ++about) {
-                const auto* record = world_.members[at]->table().find(member_world::name(about));
+                const auto* record = world_.members[at]->table().find(membership_fixture::name(about));
                 if (record == nullptr) {
-                    left_[at * size + about] = incarnation();
+                    leaving_start_[at * size + about] = incarnation();
                     continue;
                 }
                 const auto start = record->update.number.start;
-                auto& left = left_[at * size + about];
+                auto& leaving_start = leaving_start_[at * size + about];
                 if (record->update.state == member_state::leaving) {
-                    left = start;
+                    leaving_start = start;
                 }
-                else if (left == start && left != incarnation()) {
-                    broken_ = std::to_string(at) + " took back that " + std::to_string(about) + " is leaving";
+                else if (leaving_start == start && leaving_start != incarnation()) {
+                    violation_ =
+                        std::to_string(at) + " took back that " + std::to_string(about) + " is leaving";
                 }
             }
         }
     }
 
-    member_world world_;
-    random_source draw_;
+    membership_fixture world_;
+    random_source random_;
     std::uint64_t start_ = 1'000;
-    std::array<incarnation, size * size> left_{};
-    std::optional<std::string> broken_;
+    std::array<incarnation, size * size> leaving_start_{};
+    std::optional<std::string> violation_;
 };
 
 } // namespace
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -1,5 +1,5 @@
 #include "dragonflymill/membership/membership.h"
-#include "member_world.h"
+#include "membership_fixture.h"
 #include "support/fault_cell.h"
 
 #include <set>
@@ -9,9 +9,9 @@
 
 Test(membership, everyone_finds_everyone)
 {
-    member_world world(12, 1);
+    membership_fixture world(12, 1);
     world.run(15s);
-    cr_assert(world.all_alive());
+    cr_assert(world.all_observe_all_alive());
     const auto digest = world.members[0]->table().digest();
     cr_assert(digest != world.members[1]->table().digest(), "each leaves itself out");
     cr_assert(world.members[0]->table().live_count() == 11);
@@ -20,7 +20,7 @@
 Test(membership, same_inputs_give_the_same_datagrams)
 {
     const auto log = [] {
-        member_world world(6, 3, {.drop = 0.2, .duplicate = 0.1});
+        membership_fixture world(6, 3, {.drop = 0.2, .duplicate = 0.1});
         std::string text;
         world.run(20s, [&] { text += std::to_string(world.datagrams) + " "; });
         return text;
@@ -45,9 +45,9 @@
             cr_assert(!(overrides(a, b) && overrides(b, a)));
         }
     }
-    const member_update left{{}, member_state::leaving, {incarnation(1), 0}};
-    cr_assert(!overrides({{}, member_state::alive, {incarnation(1), 9}}, left));
-    cr_assert(overrides({{}, member_state::alive, {incarnation(2), 0}}, left));
+    const member_update leaving{{}, member_state::leaving, {incarnation(1), 0}};
+    cr_assert(!overrides({{}, member_state::alive, {incarnation(1), 9}}, leaving));
+    cr_assert(overrides({{}, member_state::alive, {incarnation(2), 0}}, leaving));
 }
 
 Test(membership, table_is_bounded_and_forgets)
@@ -73,7 +73,7 @@
 Test(membership, datagrams_a_second_do_not_grow_with_the_fleet)
 {
     const auto each_second = [](std::size_t size) {
-        member_world world(size, 4);
+        membership_fixture world(size, 4);
         world.run(60s);
         world.datagrams = 0;
         world.run(60s);
@@ -85,7 +85,7 @@
 
 Test(membership, peers_of_different_failure_domains_are_asked_first)
 {
-    member_world world(9, 19);
+    membership_fixture world(9, 19);
     world.run(15s);
     std::set<std::size_t> domains;
     for (const auto& output : world.members[0]->ask_peers(3)) {
@@ -99,10 +99,10 @@
     // Operators see nobody declared dead on a network that loses one datagram in ten.
     // Order: pings and answers are lost; others are asked to ping; what is still suspected denies it.
     // Cause: a lossy link must not look like ten dead hosts.
-    member_world world(10, 5, {.drop = 0.1});
+    membership_fixture world(10, 5, {.drop = 0.1});
     world.run(20s);
     world.run(300s);
-    cr_assert(world.all_alive());
+    cr_assert(world.all_observe_all_alive());
     cr_assert(world.deaths == 0, "%lu", static_cast<unsigned long>(world.deaths));
 }
 
@@ -111,11 +111,11 @@
     // Gateways stop counting on a host that died, within seconds.
     // Order: the process stops answering; a probe fails directly and through others; nobody denies the
     // suspicion. Cause: ten hosts fail on an ordinary day.
-    member_world world(10, 6);
+    membership_fixture world(10, 6);
     world.run(15s);
     world.down[4] = true;
     world.run(16s);
-    cr_assert(world.all_believe(4, member_state::dead));
+    cr_assert(world.all_observe(4, member_state::dead));
 }
 
 FAULT_CELL(member_probe, partition_one_way)
@@ -123,7 +123,7 @@
     // Operators see nobody declared dead although two processes can't reach each other.
     // Order: 1 pings 2 in vain, asks others to ping 2 for it, and gets the answer through them.
     // Cause: one broken link between two hosts says nothing about either.
-    member_world world(6, 7);
+    membership_fixture world(6, 7);
     world.run(15s);
     world.deaths = 0;
     world.run(120s, [&] {
@@ -137,7 +137,7 @@
     // Nobody sees anything: a recorded datagram that is played back is dropped and counted.
     // Order: one datagram arrives twice.
     // Cause: the network doubles, or somebody replays what was sealed once.
-    member_world world(2, 8);
+    membership_fixture world(2, 8);
     world.run(5s);
     const auto outputs = world.members[0]->tick(world.now + 1s);
     const auto& message = std::get<send_datagram>(outputs.front()).message;
@@ -153,16 +153,16 @@
     // Order: a process is paused for a minute, is declared dead, wakes, and every probe of its own is
     // overdue. Cause: its own silence looks to it like everybody else's; it denies its death and judges
     // nobody.
-    member_world world(10, 9);
+    membership_fixture world(10, 9);
     world.run(15s);
     world.paused[3] = true;
     world.run(60s);
-    cr_assert(world.all_believe(3, member_state::dead));
+    cr_assert(world.all_observe(3, member_state::dead));
     world.deaths = 0;
     world.paused[3] = false;
     world.run(20s);
     cr_assert(world.deaths == 0);
-    cr_assert(world.all_alive());
+    cr_assert(world.all_observe_all_alive());
     cr_assert(world.members[3]->counts().pauses == 1);
 }
 
@@ -171,16 +171,17 @@
     // Operators see both halves come together by themselves after an hour apart.
     // Order: a failure domain is cut off, each side declares the other dead; the way opens; each denies it.
     // Cause: switches fail; dead members are still asked now and then, or nobody would ever speak again.
-    member_world world(9, 10);
+    membership_fixture world(9, 10);
     world.run(15s);
     for (std::size_t at = 0; at < 9; at += 3) {
-        world.side[at] = 1;
+        world.partition[at] = 1;
     }
     world.run(120s);
-    cr_assert(world.belief(0, 1) == member_state::dead && world.belief(1, 0) == member_state::dead);
-    world.side.assign(9, 0);
+    cr_assert(world.observed_state(0, 1) == member_state::dead &&
+              world.observed_state(1, 0) == member_state::dead);
+    world.partition.assign(9, 0);
     world.run(30s);
-    cr_assert(world.all_alive());
+    cr_assert(world.all_observe_all_alive());
 }
 
 FAULT_CELL_MORE(member_suspect, partition, alone)
@@ -188,19 +189,19 @@
     // Operators see one process cut off, not all the others dead, when its cable is pulled for a while.
     // Order: it hears from nobody, and holds its verdicts until it does.
     // Cause: who hears nobody is itself what is wrong.
-    member_world world(9, 11);
+    membership_fixture world(9, 11);
     world.run(15s);
-    world.side[5] = 1;
+    world.partition[5] = 1;
     world.deaths = 0;
     world.run(8s);
     cr_assert(world.members[5]->isolated(world.now));
     world.run(60s);
     for (std::size_t other = 0; other < 9; ++other) {
-        cr_assert(other == 5 || world.belief(5, other) != member_state::dead);
+        cr_assert(other == 5 || world.observed_state(5, other) != member_state::dead);
     }
-    world.side[5] = 0;
+    world.partition[5] = 0;
     world.run(20s);
-    cr_assert(world.all_alive());
+    cr_assert(world.all_observe_all_alive());
 }
 
 FAULT_CELL_MORE(member_suspect, partition, regions)
@@ -208,21 +209,22 @@
     // Operators see no deaths when two regions lose each other for an hour.
     // Order: probes between the regions fail; each region goes on judging its own.
     // Cause: a broken line between regions says nothing about the processes behind it.
-    member_world world(10, 12, {}, 5);
+    membership_fixture world(10, 12, {}, 5);
     world.run(20s);
-    cr_assert(world.all_alive());
+    cr_assert(world.all_observe_all_alive());
     for (std::size_t at = 5; at < 10; ++at) {
-        world.side[at] = 1;
+        world.partition[at] = 1;
     }
     world.deaths = 0;
     world.run(120s);
     cr_assert(world.deaths == 0);
     world.down[7] = true;
     world.run(20s);
-    cr_assert(world.belief(8, 7) == member_state::dead && world.belief(0, 7) == member_state::alive);
-    world.side.assign(10, 0);
+    cr_assert(world.observed_state(8, 7) == member_state::dead &&
+              world.observed_state(0, 7) == member_state::alive);
+    world.partition.assign(10, 0);
     world.run(60s);
-    cr_assert(world.all_believe(7, member_state::dead), "the bridges bring what the other region knows");
+    cr_assert(world.all_observe(7, member_state::dead), "the bridges bring what the other region knows");
 }
 
 FAULT_CELL(member_suspect, message_late)
@@ -230,12 +232,12 @@
     // Nobody sees a process die twice: a suspicion that was denied arrives again, late.
     // Order: suspicion, denial, and the same suspicion five seconds later by another way.
     // Cause: gossip has no order; the number of the denial decides.
-    member_world world(6, 13, {.late = 0.2});
+    membership_fixture world(6, 13, {.late = 0.2});
     world.run(30s);
     world.deaths = 0;
     world.run(120s);
     cr_assert(world.deaths == 0);
-    cr_assert(world.all_alive());
+    cr_assert(world.all_observe_all_alive());
 }
 
 FAULT_CELL(member_rejoin, process_dies)
@@ -243,13 +245,13 @@
     // Operators see a replaced process back within seconds.
     // Order: it dies, is declared dead, starts with a later number and joins by a seed.
     // Cause: 390 restarts a day.
-    member_world world(8, 14);
+    membership_fixture world(8, 14);
     world.run(15s);
     world.down[4] = true;
     world.run(20s);
     world.start(4, 2'000);
     world.run(10s);
-    cr_assert(world.all_alive());
+    cr_assert(world.all_observe_all_alive());
     cr_assert(world.members[4]->table().live_count() == 7);
 }
 
@@ -258,11 +260,11 @@
     // Operators see a restarted process taken up although its host's clock went back.
     // Order: it starts with a lower number than before, hears of its own past and takes a higher one.
     // Cause: the start number is civil time, which jumps.
-    member_world world(6, 15);
+    membership_fixture world(6, 15);
     world.run(15s);
     world.start(3, 500);
     world.run(15s);
-    cr_assert(world.all_alive());
+    cr_assert(world.all_observe_all_alive());
     cr_assert(world.members[3]->self().number.start == incarnation(1'001));
     cr_assert(world.superseded_count[3] == 0);
 }
@@ -272,14 +274,14 @@
     // Operators see the old process stop when it wakes beside its successor; the successor is not disturbed.
     // Order: a process is paused, a successor starts under its name, the old one wakes and speaks.
     // Cause: the platform replaced a host that was only paused.
-    member_world world(6, 16);
+    membership_fixture world(6, 16);
     world.run(40s);
     auto old_process = *world.members[3];
     world.start(3, 2'000);
     world.run(15s);
-    const auto awake = old_process.tick(world.now);
-    bool told = false;
-    for (const auto& output : awake) {
+    const auto sent_after_wake = old_process.tick(world.now);
+    bool was_superseded = false;
+    for (const auto& output : sent_after_wake) {
         const auto* sent = std::get_if<send_datagram>(&output);
         if (sent == nullptr) {
             continue;
@@ -288,13 +290,13 @@
         for (const auto& reply : other.receive(world.now, sent->message, "3")) {
             const auto* back = std::get_if<send_datagram>(&reply);
             for (const auto& heard : old_process.receive(world.now, back->message, sent->address)) {
-                told = told || std::holds_alternative<superseded>(heard);
+                was_superseded = was_superseded || std::holds_alternative<superseded>(heard);
             }
         }
     }
-    cr_assert(told);
+    cr_assert(was_superseded);
     world.run(10s);
-    cr_assert(world.all_alive());
+    cr_assert(world.all_observe_all_alive());
     cr_assert(world.superseded_count[3] == 0);
 }
 
@@ -303,12 +305,12 @@
     // Callers see no request cut off: a process that stops gets no new work, whatever arrives late.
     // Order: "leaving" spreads; an older "alive" and a suspicion of the same start arrive after it.
     // Cause: gossip has no order; what a process says of its own end is final for this start.
-    member_world world(6, 17, {.late = 0.3});
+    membership_fixture world(6, 17, {.late = 0.3});
     world.run(30s);
-    world.act(2, world.members[2]->leave());
+    world.apply_outputs(2, world.members[2]->leave());
     world.run(5s);
-    cr_assert(world.all_believe(2, member_state::leaving));
-    world.run(30s, [&] { cr_assert(world.all_believe(2, member_state::leaving)); });
+    cr_assert(world.all_observe(2, member_state::leaving));
+    world.run(30s, [&] { cr_assert(world.all_observe(2, member_state::leaving)); });
 }
 
 FAULT_CELL(process_stop, message_lost)
@@ -316,12 +318,12 @@
     // Callers see no request cut off although the first words of the stop are lost.
     // Order: half of all datagrams are lost; every later one repeats that the process is leaving.
     // Cause: a word said once may not arrive.
-    member_world world(6, 18, {.drop = 0.5});
+    membership_fixture world(6, 18, {.drop = 0.5});
     world.run(60s);
-    world.act(2, world.members[2]->leave());
+    world.apply_outputs(2, world.members[2]->leave());
     world.run(10s);
     for (std::size_t at = 0; at < 6; ++at) {
-        cr_assert(at == 2 || world.belief(at, 2) == member_state::leaving);
+        cr_assert(at == 2 || world.observed_state(at, 2) == member_state::leaving);
     }
 }
 
@@ -329,7 +331,7 @@
 {
     // A sidecar goes on acting by a bundle that is no longer in force. Peers with the same bundle confirm it,
     // from the moment they were asked; as soon as those that answer have a newer one nothing confirms it.
-    member_world world(2, 5);
+    membership_fixture world(2, 5);
     const auto word = [](std::uint64_t version) { return bundle_notice{bundle_version(version), {}}; };
     world.members[0]->set_word(word(3));
     world.run(10s);
--- a/tests/route/route_fixture.h
+++ b/tests/route/route_fixture.h
@@ -9,7 +9,7 @@
 namespace dragonflymill::test {
 
 /// Upstreams u00, u01, ... in the failure domains a, b and c in turn, all serving the model m.
-inline auto some_upstreams(std::size_t count) -> std::vector<upstream_description>
+inline auto make_upstreams(std::size_t count) -> std::vector<upstream_description>
 {
     std::vector<upstream_description> upstreams;
     upstreams.reserve(count);
@@ -26,15 +26,15 @@
 }
 
 /// A table of `count` upstreams.
-inline auto some_table(std::size_t count) -> upstream_table
+inline auto make_table(std::size_t count) -> upstream_table
 {
     upstream_table table;
-    (void)table.configure(some_upstreams(count)).has_value();
+    (void)table.configure(make_upstreams(count)).has_value();
     return table;
 }
 
 /// A request of the model m.
-inline auto some_request(const std::string& name, token_count prompt) -> route_request
+inline auto make_request(const std::string& name, token_count prompt) -> route_request
 {
     route_request request;
     request.id = request_id(name);
--- a/tests/route/routing_policy_test.cpp
+++ b/tests/route/routing_policy_test.cpp
@@ -28,25 +28,25 @@
 template <typename Policy>
 auto idle_router(Policy policy, std::size_t count) -> router<Policy>
 {
-    router<Policy> made(std::move(policy));
-    cr_assert(made.table().configure(some_upstreams(count)).has_value());
-    for (const auto& each : some_upstreams(count)) {
-        made.report(at(0s), each.id, queued_load(length_class::interactive, 0));
+    router<Policy> router_under_test(std::move(policy));
+    cr_assert(router_under_test.table().configure(make_upstreams(count)).has_value());
+    for (const auto& each : make_upstreams(count)) {
+        router_under_test.report(at(0s), each.id, queued_load(length_class::interactive, 0));
     }
-    return made;
+    return router_under_test;
 }
 
 /// What a router chooses for a hundred requests sent one after the other.
 template <typename Policy>
-auto hundred_choices(Policy policy) -> std::vector<route_choice>
+auto choose_for_100_requests(Policy policy) -> std::vector<route_choice>
 {
-    auto made = idle_router(std::move(policy), 5);
+    auto router_under_test = idle_router(std::move(policy), 5);
     std::vector<route_choice> choices;
     for (int i = 0; i < 100; ++i) {
-        route_request request = some_request("r" + std::to_string(i), 500 + 700 * (i % 9));
+        route_request request = make_request("r" + std::to_string(i), 500 + 700 * (i % 9));
         request.blocks = {static_cast<block_hash>(i % 4), 5, 6, static_cast<block_hash>(i % 4)};
-        choices.push_back(chosen(made.choose(at(1ms * i), request)));
-        cr_assert(made.sent(at(1ms * i), request, attempt_number(1), choices.back()));
+        choices.push_back(chosen(router_under_test.choose(at(1ms * i), request)));
+        cr_assert(router_under_test.sent(at(1ms * i), request, attempt_number(1), choices.back()));
     }
     return choices;
 }
@@ -55,40 +55,43 @@
 
 Test(routing_policy, same_inputs_give_the_same_choices)
 {
-    cr_assert(hundred_choices(round_robin()) == hundred_choices(round_robin()));
-    cr_assert(hundred_choices(least_outstanding()) == hundred_choices(least_outstanding()));
-    cr_assert(hundred_choices(power_of_two(3)) == hundred_choices(power_of_two(3)));
-    cr_assert(hundred_choices(predicted_first_token()) == hundred_choices(predicted_first_token()));
+    cr_assert(choose_for_100_requests(round_robin()) == choose_for_100_requests(round_robin()));
+    cr_assert(choose_for_100_requests(least_outstanding()) == choose_for_100_requests(least_outstanding()));
+    cr_assert(choose_for_100_requests(power_of_two(3)) == choose_for_100_requests(power_of_two(3)));
+    cr_assert(choose_for_100_requests(predicted_first_token()) ==
+              choose_for_100_requests(predicted_first_token()));
 }
 
 Test(predicted_first_token, avoids_queues_of_its_own_class_and_of_shorter_ones_only)
 {
-    auto made = idle_router(predicted_first_token(), 2);
-    made.report(at(1ms), upstream_id("u00"), queued_load(length_class::interactive, 8'000));
-    cr_assert(chosen(made.choose(at(2ms), some_request("r", 1'000))).upstream == upstream_id("u01"));
-    made.report(at(3ms), upstream_id("u00"), queued_load(length_class::bulk, 8'000));
-    made.report(at(3ms), upstream_id("u01"), queued_load(length_class::interactive, 8'000));
-    cr_assert(chosen(made.choose(at(4ms), some_request("r", 1'000))).upstream == upstream_id("u00"));
+    auto router_under_test = idle_router(predicted_first_token(), 2);
+    router_under_test.report(at(1ms), upstream_id("u00"), queued_load(length_class::interactive, 8'000));
+    cr_assert(chosen(router_under_test.choose(at(2ms), make_request("r", 1'000))).upstream ==
+              upstream_id("u01"));
+    router_under_test.report(at(3ms), upstream_id("u00"), queued_load(length_class::bulk, 8'000));
+    router_under_test.report(at(3ms), upstream_id("u01"), queued_load(length_class::interactive, 8'000));
+    cr_assert(chosen(router_under_test.choose(at(4ms), make_request("r", 1'000))).upstream ==
+              upstream_id("u00"));
 }
 
 Test(predicted_first_token, goes_where_the_prompt_is_cached_unless_the_queue_there_costs_more)
 {
-    auto made = idle_router(predicted_first_token(), 4);
-    route_request request = some_request("r", 20'000);
+    auto router_under_test = idle_router(predicted_first_token(), 4);
+    route_request request = make_request("r", 20'000);
     request.blocks.resize(70);
     std::iota(request.blocks.begin(), request.blocks.end(), block_hash(1));
-    made.prefixes().sent(upstream_id("u02"), request.blocks);
-    const auto choice = chosen(made.choose(at(1ms), request));
+    router_under_test.prefixes().sent(upstream_id("u02"), request.blocks);
+    const auto choice = chosen(router_under_test.choose(at(1ms), request));
     cr_assert(choice.upstream == upstream_id("u02"));
     cr_assert(choice.reason == route_reason::prefix_cached);
     cr_assert(choice.prefill == 20'000 - 70 * block_tokens);
-    made.report(at(2ms), upstream_id("u02"), queued_load(length_class::interactive, 100'000));
-    cr_assert(chosen(made.choose(at(3ms), request)).upstream != upstream_id("u02"));
+    router_under_test.report(at(2ms), upstream_id("u02"), queued_load(length_class::interactive, 100'000));
+    cr_assert(chosen(router_under_test.choose(at(3ms), request)).upstream != upstream_id("u02"));
 }
 
 Test(predicted_first_token, gateways_agree_on_a_prompts_home_without_a_message_and_leave_it_when_loaded)
 {
-    route_request request = some_request("r", 2'000);
+    route_request request = make_request("r", 2'000);
     request.blocks = {11, 12, 13, 14, 15};
     auto one = idle_router(predicted_first_token(), 8);
     auto other = idle_router(predicted_first_token(), 8);
@@ -104,22 +107,24 @@
 
 Test(predicted_first_token, keeps_longer_prompts_off_the_reserved_upstreams_unless_that_saves_much)
 {
-    auto upstreams = some_upstreams(8);
+    auto upstreams = make_upstreams(8);
     reserve_for_short(0.25, upstreams);
     for (const token_count prompt : {16'000, 200'000}) {
         const double prefill = static_cast<double>(prompt) / upstreams.front().prefill_rate;
-        for (const bool worth_it : {false, true}) {
-            router<predicted_first_token> made{predicted_first_token()};
-            cr_assert(made.table().configure(upstreams).has_value());
+        for (const bool saves_much : {false, true}) {
+            router<predicted_first_token> router_under_test{predicted_first_token()};
+            cr_assert(router_under_test.table().configure(upstreams).has_value());
             // A third of the queue's time is decode steps, so the two sides are well below and above 12
             // prefills.
-            const double wait = prefill * (worth_it ? 16.0 : 6.0);
+            const double wait = prefill * (saves_much ? 16.0 : 6.0);
             const auto queue = static_cast<token_count>(wait * upstreams.front().prefill_rate);
             for (const auto& each : upstreams) {
-                made.report(at(0s), each.id, queued_load(length_class::medium, each.takes_bulk ? queue : 0));
+                router_under_test.report(at(0s), each.id,
+                                         queued_load(length_class::medium, each.takes_bulk ? queue : 0));
             }
-            const auto choice = chosen(made.choose(at(1ms), some_request("r", prompt)));
-            cr_assert(made.table().find(choice.upstream)->description().takes_bulk != worth_it);
+            const auto choice = chosen(router_under_test.choose(at(1ms), make_request("r", prompt)));
+            cr_assert(router_under_test.table().find(choice.upstream)->description().takes_bulk !=
+                      saves_much);
         }
     }
 }
@@ -130,9 +135,10 @@
     // words and all choose the same least loaded engine. Cause: no newer words come; equal choices must be
     // spread.
     std::set<upstream_id> used;
-    auto made = idle_router(predicted_first_token(), 8);
+    auto router_under_test = idle_router(predicted_first_token(), 8);
     for (int i = 0; i < 64; ++i) {
-        used.insert(chosen(made.choose(at(1ms), some_request("r" + std::to_string(i), 1'000))).upstream);
+        used.insert(
+            chosen(router_under_test.choose(at(1ms), make_request("r" + std::to_string(i), 1'000))).upstream);
     }
     cr_assert(used.size() >= 3, "the own domain's engines at least");
 }
@@ -142,35 +148,35 @@
     // A member's dossier is cut off because one policy of several still sends to a failure domain that was
     // taken out. The domain is taken out, then each policy chooses a hundred times. Cause: a policy with its
     // own list.
-    const auto never_in_a = [](auto policy) {
-        auto made = idle_router(std::move(policy), 6);
-        made.table().set_drained(failure_domain_id("a"), true);
+    const auto check_avoids_domain_a = [](auto policy) {
+        auto router_under_test = idle_router(std::move(policy), 6);
+        router_under_test.table().set_drained(failure_domain_id("a"), true);
         for (int i = 0; i < 100; ++i) {
-            const route_request request = some_request("r" + std::to_string(i), 1'000);
-            const auto choice = chosen(made.choose(at(1ms), request));
-            cr_assert(made.table().find(choice.upstream)->description().failure_domain !=
+            const route_request request = make_request("r" + std::to_string(i), 1'000);
+            const auto choice = chosen(router_under_test.choose(at(1ms), request));
+            cr_assert(router_under_test.table().find(choice.upstream)->description().failure_domain !=
                       failure_domain_id("a"));
         }
     };
-    never_in_a(round_robin());
-    never_in_a(least_outstanding());
-    never_in_a(power_of_two(1));
-    never_in_a(predicted_first_token());
+    check_avoids_domain_a(round_robin());
+    check_avoids_domain_a(least_outstanding());
+    check_avoids_domain_a(power_of_two(1));
+    check_avoids_domain_a(predicted_first_token());
 }
 
 FAULT_CELL_MORE(request_route, upstream_cold, all_full)
 {
     // A caller is refused with "no route" and never comes back, while the only engines are warming up. All
     // ramps are full. Cause: the refusal must name the passing reason and a time to come back.
-    auto made = idle_router(predicted_first_token(), 2);
+    auto router_under_test = idle_router(predicted_first_token(), 2);
     for (const char* name : {"u00", "u01"}) {
         upstream_load cold = queued_load(length_class::interactive, 0);
         cold.cold = true;
         cold.allowed = 100;
         cold.outstanding = 100;
-        made.report(at(1ms), upstream_id(name), cold);
+        router_under_test.report(at(1ms), upstream_id(name), cold);
     }
-    const auto decision = made.choose(at(2ms), some_request("r", 1'000));
+    const auto decision = router_under_test.choose(at(2ms), make_request("r", 1'000));
     const auto* refused = std::get_if<route_refusal>(&decision);
     cr_assert(refused != nullptr);
     cr_assert(refused->code == refusal_code::upstream_cold);
@@ -181,13 +187,13 @@
 {
     // A prompt follows a cache that died with its engine: the engine restarts and its cache events are lost
     // too. Cause: the load word of the new start must empty what the gateway remembers.
-    auto made = idle_router(predicted_first_token(), 3);
-    route_request request = some_request("r", 2'000);
+    auto router_under_test = idle_router(predicted_first_token(), 3);
+    route_request request = make_request("r", 2'000);
     request.blocks = {1, 2, 3, 4, 5, 6, 7};
-    made.prefixes().sent(upstream_id("u01"), request.blocks);
-    cr_assert(chosen(made.choose(at(1ms), request)).reason == route_reason::prefix_cached);
+    router_under_test.prefixes().sent(upstream_id("u01"), request.blocks);
+    cr_assert(chosen(router_under_test.choose(at(1ms), request)).reason == route_reason::prefix_cached);
     upstream_load restarted = queued_load(length_class::interactive, 0);
     restarted.start = incarnation(2);
-    made.report(at(2ms), upstream_id("u01"), restarted);
-    cr_assert(chosen(made.choose(at(3ms), request)).reason != route_reason::prefix_cached);
+    router_under_test.report(at(2ms), upstream_id("u01"), restarted);
+    cr_assert(chosen(router_under_test.choose(at(3ms), request)).reason != route_reason::prefix_cached);
 }
--- a/tests/route/subset_test.cpp
+++ b/tests/route/subset_test.cpp
@@ -30,7 +30,7 @@
 
 Test(subset, is_bounded_spread_over_domains_and_the_same_each_time)
 {
-    const auto all = some_upstreams(600);
+    const auto all = make_upstreams(600);
     const auto subset = choose_subset(settings_of(1, 16), all);
     cr_assert(subset.size() == 16);
     cr_assert(subset == choose_subset(settings_of(1, 16), all));
@@ -45,7 +45,7 @@
 
 Test(subset, every_upstream_is_tracked_by_some_gateway_of_many)
 {
-    const auto all = some_upstreams(600);
+    const auto all = make_upstreams(600);
     std::map<std::string, int> trackers;
     for (std::size_t gateway = 0; gateway < 410; ++gateway) {
         for (const auto& name : names(choose_subset(settings_of(gateway, 16), all))) {
@@ -57,7 +57,7 @@
 
 Test(subset, takes_the_own_region_first)
 {
-    auto all = some_upstreams(12);
+    auto all = make_upstreams(12);
     for (std::size_t i = 0; i < 8; ++i) {
         all[i].region = region_id("far");
     }
@@ -72,7 +72,7 @@
 {
     // Each change of configuration empties the caches that a gateway's callers rely on. One upstream leaves
     // the bundle. Cause: the subset is dealt anew; only the place of the one that left may change.
-    const auto all = some_upstreams(100);
+    const auto all = make_upstreams(100);
     for (std::size_t gone = 0; gone < all.size(); ++gone) {
         auto fewer = all;
         fewer.erase(fewer.begin() + static_cast<std::ptrdiff_t>(gone));
@@ -87,7 +87,7 @@
 
 Test(length_lanes, reserve_a_share_in_each_domain_and_never_all)
 {
-    auto all = some_upstreams(12);
+    auto all = make_upstreams(12);
     reserve_for_short(0.25, all);
     std::set<failure_domain_id> domains;
     for (const auto& each : all) {
@@ -96,7 +96,7 @@
         }
     }
     cr_assert(domains.size() == 3);
-    auto single = some_upstreams(1);
+    auto single = make_upstreams(1);
     reserve_for_short(1.0, single);
     cr_assert(single.front().takes_bulk);
 }
