--- a/include/dragonflymill/drain/drain_state.h
+++ b/include/dragonflymill/drain/drain_state.h
@@ -14,90 +14,90 @@
 
 namespace dragonflymill {
 
-/// What can be taken out of service: a failure domain or one host.
+/// Subject of a drain: a failure domain or a host.
 using drain_subject = std::variant<failure_domain_id, host_id>;
 
-/// Who said that something is out of service.
+/// Origin of a drain.
 enum class drain_source
 {
-    bundle,      ///< The bundle in force: `in_service = no` of a failure domain.
-    operators,   ///< An operator's word, spread from process to process.
-    host_list,   ///< The platform's host list says `leaving`.
-    own_process, ///< The process on the host said that it is leaving.
+    bundle,      ///< The bundle in force has `in_service = no` for the failure domain.
+    operators,   ///< An operator's drain command, spread by gossip.
+    host_list,   ///< The platform's host list shows `leaving`.
+    own_process, ///< The process on the host announced that it is leaving.
 };
 
-/// Name of a source, as it stands in logs and status.
+/// Name of a drain source as written to logs and status.
 [[nodiscard]] auto to_string(drain_source source) -> const char*;
 
-/// An operator's word. Of two words on one subject the one with the higher number counts; of two with one
-/// number the one that says "out".
+/// An operator's drain command. Of two notices on one subject the one with the higher number wins; with equal
+/// numbers the one that drains wins.
 struct drain_notice
 {
-    drain_subject subject;    ///< What it is about.
-    std::uint64_t number = 0; ///< Rises with every word on the subject.
-    bool out = true;          ///< Out of service, or in again.
+    drain_subject subject;    ///< Failure domain or host concerned.
+    std::uint64_t number = 0; ///< Increases with every notice on the subject.
+    bool out = true;          ///< Whether the subject is drained or back in service.
 
     friend auto operator==(const drain_notice&, const drain_notice&) -> bool = default;
 };
 
-/// A host as the platform lists it.
+/// A host in the platform's host list.
 struct listed_host
 {
-    host_id host;          ///< The host.
-    bool leaving = false;  ///< Whether it is about to go.
-    std::string address{}; ///< Its IP number.
+    host_id host;          ///< Id of the host.
+    bool leaving = false;  ///< Whether the platform is about to remove it.
+    std::string address{}; ///< IP address.
 
     friend auto operator==(const listed_host&, const listed_host&) -> bool = default;
 };
 
-/// Since when something is out of service, and by whose word.
+/// Since when something is drained, and by which source.
 struct drain_status
 {
-    instant since{};                        ///< When the first word arrived here.
-    drain_source by = drain_source::bundle; ///< Who said so first.
+    instant since{}; ///< When this process received the earliest drain still in effect.
+    drain_source by = drain_source::bundle; ///< Source of that drain.
     friend auto operator==(const drain_status&, const drain_status&) -> bool = default;
 };
 
-/// Bounds of a drain state.
+/// Limits of a `drain_state`.
 struct drain_limits
 {
-    std::size_t max_hosts = 4'096; ///< Hosts remembered; at the bound the longest silent one is dropped.
-    std::size_t max_words = 256;   ///< Operators' words kept; at the bound a new subject is refused.
-    duration forget_after = 1h;    ///< A host neither listed nor heard of for so long is forgotten.
+    std::size_t max_hosts = 4'096; ///< Maximum hosts; when full, the one not seen for longest is removed.
+    std::size_t max_words = 256;   ///< Maximum operators' notices; when full, a new subject is rejected.
+    duration forget_after = 1h;    ///< A host that is neither listed nor seen for this long is removed.
 };
 
-/// Decides what takes no new work. Words come by bundle, by the operators' command, by the host list and
-/// from leaving processes; each path lags in its own way, so the first word of "out" by any path counts, and
-/// each path takes back only its own word, by a newer one.
+/// Decides which hosts and failure domains accept no new work. Drains arrive by bundle, by operators'
+/// commands, by the host list and from leaving processes. Each source lags in its own way, so the earliest
+/// drain from any source takes effect, and each source ends only its own drain, with a newer message.
 class drain_state
 {
 public:
-    /// Nothing is out of service yet.
+    /// Starts with everything in service.
     explicit drain_state(drain_limits limits = {});
 
-    /// A bundle was put in force.
+    /// Applies a bundle that came into force; an older version is ignored.
     void bundle_adopted(instant now, const bundle& value);
-    /// The host list was read. It lags: `live` alone undoes nothing, and absence means nothing.
+    /// Applies the host list. As the list lags, `live` alone ends no drain, and a missing host means nothing.
     void host_list_read(instant now, const std::vector<listed_host>& hosts);
-    /// The process on a host is heard of: its start, and whether it is leaving.
+    /// Applies the incarnation and the leaving flag that the process on a host announced.
     void process_heard(instant now, const host_id& host, incarnation start, bool leaving);
-    /// An operator's word arrived. True if it is news, to be passed on.
+    /// Applies an operator's notice. Returns true if it is new and must be propagated.
     [[nodiscard]] auto operator_said(instant now, const drain_notice& word) -> bool;
 
-    /// Status of a failure domain; nothing if it is in service.
+    /// Drain status of a failure domain; empty if it is in service.
     [[nodiscard]] auto status(const failure_domain_id& domain) const -> std::optional<drain_status>;
-    /// Status of a host itself; nothing if it is in service.
+    /// Drain status of a host, regardless of its failure domain; empty if it is in service.
     [[nodiscard]] auto status(const host_id& host) const -> std::optional<drain_status>;
-    /// Whether new work may go to a host in a failure domain. Both ends ask: gateways before they choose,
-    /// sidecars before they grant.
+    /// Whether a host in a failure domain accepts new work. Gateways check it before they route, sidecars
+    /// before they admit.
     [[nodiscard]] auto accepts_new_work(const failure_domain_id& domain, const host_id& host) const -> bool;
-    /// Failure domains out of service, sorted.
+    /// Drained failure domains, sorted.
     [[nodiscard]] auto drained_domains() const -> std::vector<failure_domain_id>;
-    /// Hosts out of service, sorted.
+    /// Drained hosts, sorted.
     [[nodiscard]] auto drained_hosts() const -> std::vector<host_id>;
-    /// Operators' words, to be told to other processes.
+    /// Operators' notices, for replication to other processes.
     [[nodiscard]] auto words() const -> std::vector<drain_notice>;
-    /// Number that a new operator's word on the subject needs to count.
+    /// Number that the next operator's notice on the subject needs.
     [[nodiscard]] auto next_number(const drain_subject& subject) const -> std::uint64_t;
 
 private:
--- a/include/dragonflymill/membership/datagram_seal.h
+++ b/include/dragonflymill/membership/datagram_seal.h
@@ -8,22 +8,23 @@
 
 namespace dragonflymill {
 
-/// Seals datagrams with HMAC-SHA256, so that only processes that know the fleet's key are listened to. A
-/// second key may be accepted while the key is being changed.
+/// Authenticates datagrams with HMAC-SHA256, so that only processes with the fleet's key are trusted. A
+/// second key may be accepted during key rotation.
 class datagram_seal
 {
 public:
-    /// Bytes that a seal adds.
+    /// Size of the authentication code, in bytes.
     static constexpr std::size_t size = 16;
-    /// Shortest key taken, in bytes.
+    /// Minimum key length, in bytes.
     static constexpr std::size_t min_key_bytes = 16;
 
-    /// Seals with the first key and accepts any of them; one or two keys of at least 16 bytes.
+    /// Creates a seal that signs with the first key and accepts every key. Fails unless there are one or two
+    /// keys of at least `min_key_bytes` bytes.
     [[nodiscard]] static auto create(std::vector<std::string> keys) -> result<datagram_seal>;
 
-    /// The content with its seal in front.
+    /// Returns the content with its authentication code prepended.
     [[nodiscard]] auto seal(std::string_view content) const -> std::string;
-    /// The content of a sealed text; an error if no key fits.
+    /// Returns the content of a sealed datagram; an error if its authentication code matches no key.
     [[nodiscard]] auto open(std::string_view sealed) const -> result<std::string_view>;
 
 private:
--- a/include/dragonflymill/membership/member_table.h
+++ b/include/dragonflymill/membership/member_table.h
@@ -12,44 +12,45 @@
 
 namespace dragonflymill {
 
-/// A member and since when it is what it is.
+/// A member with its state and replay window.
 struct member_record
 {
-    member_update update;     ///< What is believed.
-    instant since{};          ///< Since when.
-    bool silent = false;      ///< Whether it is suspect because it did not answer this process itself.
-    bool second_hand = false; ///< First heard of as leaving: remembered, but not told to others.
-    replay_window window;     ///< Datagrams already heard from it.
+    member_update update;     ///< Newest update about the member.
+    instant since{};          ///< When it got its current state and number.
+    bool silent = false;      ///< Whether this process itself suspects it after a failed probe.
+    bool second_hand = false; ///< First known as leaving: stored but not propagated.
+    replay_window window;     ///< Detects replayed datagrams of this member.
 };
 
-/// What this process believes about every other.
+/// State of every other member as seen by this process.
 ///
-/// Bound: `max_members`; when full, the one dead or leaving for longest goes, and a new member is refused if
-/// there is none. Dead and leaving members are forgotten after `retention`.
+/// Holds at most `max_members`. When full, the member that has been dead or leaving for longest is evicted;
+/// without one, a new member is rejected. Dead and leaving members are removed after `retention`.
 class member_table
 {
 public:
-    /// An empty table.
+    /// Limits the number of members and how long dead and leaving ones are kept.
     member_table(std::size_t max_members, duration retention);
 
-    /// Takes over an update if it is news. A member first heard of as dead is not taken up: there is nothing
-    /// to end. One first heard of as leaving is remembered, since its older "alive" may still be under way,
-    /// but not told to others, or forgotten ones would come back for ever.
+    /// Applies an update and returns true if it is new. An unknown member that is reported dead is ignored,
+    /// since there is no state to end. An unknown member that is reported leaving is stored, since an older
+    /// "alive" may still arrive, but not propagated; otherwise removed members would be reintroduced for
+    /// ever.
     [[nodiscard]] auto merge(instant now, const member_update& update) -> bool;
-    /// The record of a member; null if unknown.
+    /// Record of a member; null if unknown.
     [[nodiscard]] auto find(const process_id& id) -> member_record*;
-    /// The record of a member; null if unknown.
+    /// Record of a member; null if unknown.
     [[nodiscard]] auto find(const process_id& id) const -> const member_record*;
-    /// Every member, sorted by name.
+    /// All members, sorted by id.
     [[nodiscard]] auto records() const -> const std::map<process_id, member_record>& { return records_; }
-    /// Digest of the members believed alive or suspect, for comparing two tables.
+    /// Digest of the members that are alive or suspect, for comparing two tables.
     [[nodiscard]] auto digest() const -> std::uint64_t { return digest_; }
-    /// Members believed alive or suspect.
+    /// Number of members that are alive or suspect.
     [[nodiscard]] auto live_count() const -> std::size_t { return live_count_; }
-    /// Forgets dead and leaving members that are past retention.
+    /// Removes dead and leaving members past their retention.
     void forget(instant now);
 
-    /// Up to `count` different random members that `wanted(record)` is true for.
+    /// Returns up to `count` distinct random members for which `wanted(record)` is true.
     template <typename Wanted>
     [[nodiscard]] auto sample(random_source& random, std::size_t count, Wanted wanted) const
         -> std::vector<const member_record*>
@@ -79,7 +80,7 @@
     std::size_t live_count_ = 0;
 };
 
-/// Whether a member may be asked and may take work: alive, or suspected but not yet given up.
+/// Whether a member may be probed and may receive work: alive, or suspect but not yet dead.
 [[nodiscard]] auto is_live(const member_record& record) -> bool;
 
 } // namespace dragonflymill
--- a/include/dragonflymill/membership/membership.h
+++ b/include/dragonflymill/membership/membership.h
@@ -18,120 +18,124 @@
 /// Settings of the membership protocol.
 struct membership_settings
 {
-    member_info self;                  ///< This process.
-    incarnation start;                 ///< Start of this process: civil time in milliseconds.
-    std::vector<std::string> seeds;    ///< Gossip addresses to join by.
-    duration probe_interval = 1s;      ///< One member is probed in each.
-    duration probe_timeout = 300ms;    ///< Others are asked to probe it after this silence.
-    duration suspicion = 5s;           ///< A suspect that does not deny it in this time is dead.
-    duration isolation_after = 4s;     ///< Hearing from nobody for so long, this process is cut off itself.
-    duration retention = 2h;           ///< Dead and leaving members are remembered so long.
-    std::uint32_t indirect_probes = 3; ///< Members asked to probe a silent one.
-    std::uint32_t announce_fanout = 4; ///< Members told of news at once.
-    std::uint32_t bridges = 3;         ///< Members of each region that probe other regions.
-    std::size_t news_bytes = 480;      ///< News carried by a datagram, in bytes.
-    std::size_t bytes_per_second = 4'500; ///< Sent on average; probes go on when it is spent, news wait.
-    std::size_t burst_bytes = 12'000;     ///< Sent at once after a quiet time.
-    std::size_t max_members = 4'096;      ///< Members remembered.
+    member_info self;  ///< Description of this process.
+    incarnation start; ///< Incarnation of this process: its start in milliseconds of wall-clock time.
+    std::vector<std::string> seeds; ///< Gossip addresses used to join.
+    duration probe_interval = 1s;   ///< Interval in which one member is probed.
+    duration probe_timeout = 300ms; ///< Wait for an acknowledgement before other members are asked to probe.
+    duration suspicion = 5s;        ///< Time that a suspect has to refute before it is declared dead.
+    duration isolation_after = 4s;  ///< Time without any datagram after which it considers itself isolated.
+    duration retention = 2h;        ///< How long dead and leaving members are kept.
+    std::uint32_t indirect_probes = 3;    ///< Members asked to probe an unresponsive one.
+    std::uint32_t announce_fanout = 4;    ///< Members that receive an announcement immediately.
+    std::uint32_t bridges = 3;            ///< Members per region that probe other regions.
+    std::size_t news_bytes = 480;         ///< Updates per datagram, in bytes.
+    std::size_t bytes_per_second = 4'500; ///< Average send rate; when used up, probes continue, updates wait.
+    std::size_t burst_bytes = 12'000;     ///< Largest burst after an idle time.
+    std::size_t max_members = 4'096;      ///< Maximum number of members.
 };
 
-/// Send this datagram to a gossip address.
+/// Output: send this datagram to a gossip address.
 struct send_datagram
 {
-    std::string address; ///< IP and UDP port.
-    datagram message;    ///< What to send, not yet sealed.
+    std::string address; ///< IP address and UDP port.
+    datagram message;    ///< Datagram, not yet sealed.
 };
 
-/// What is believed about a member has changed.
+/// Output: the state of a member changed.
 struct member_changed
 {
-    member_update update; ///< What is believed now.
+    member_update update; ///< Newest update about the member.
 };
 
-/// A peer said which bundle it has in force, or that it has none.
+/// Output: a peer reported which bundle it has in force, or that it has none.
 struct bundle_heard
 {
-    process_id peer;                   ///< Who.
-    failure_domain_id domain;          ///< Where it runs.
-    std::optional<bundle_notice> word; ///< What it has.
+    process_id peer;                   ///< Reporting peer.
+    failure_domain_id domain;          ///< Failure domain of the peer.
+    std::optional<bundle_notice> word; ///< Bundle in force at the peer.
 };
 
-/// An operator's word was passed on; `drain_state` tells whether it is news.
+/// Output: an operator's notice was received; `drain_state` decides whether it is new.
 struct drain_heard
 {
-    drain_notice word; ///< The word.
+    drain_notice word; ///< Received notice.
 };
 
-/// A member answered neither this process nor others on its behalf.
+/// Output: a member responded to neither direct nor indirect probes.
 struct member_silent
 {
-    process_id peer; ///< Who.
+    process_id peer; ///< Unresponsive member.
 };
 
-/// A later start of this process's own name is there: this one must stop.
+/// Output: a later incarnation with this process's id exists; this process must stop.
 struct superseded
 {
 };
 
-/// What the daemon is to do.
+/// Action for the daemon.
 using membership_output =
     std::variant<send_datagram, member_changed, bundle_heard, drain_heard, member_silent, superseded>;
-/// In the order in which they are to be done.
+/// Actions, in the order of execution.
 using membership_outputs = std::vector<membership_output>;
 
-/// Counts of the membership protocol, for metrics.
+/// Counters of the membership protocol, for metrics.
 struct membership_counts
 {
-    std::uint64_t replayed = 0;     ///< Datagrams dropped because they had come before.
-    std::uint64_t misdirected = 0;  ///< Datagrams dropped because they were for another process.
-    std::uint64_t out_of_date = 0;  ///< Datagrams dropped because a later start of the sender is known.
-    std::uint64_t false_alarms = 0; ///< Suspicions of this process that it denied.
-    std::uint64_t pauses = 0;       ///< Times that this process was found to have been paused.
+    std::uint64_t replayed = 0;     ///< Datagrams dropped as replayed.
+    std::uint64_t misdirected = 0;  ///< Datagrams dropped as addressed to another process.
+    std::uint64_t out_of_date = 0;  ///< Datagrams dropped because a later incarnation of the sender is known.
+    std::uint64_t false_alarms = 0; ///< Suspicions of this process that it refuted.
+    std::uint64_t pauses = 0;       ///< Detected pauses of this process.
 };
 
-/// Who is there: gossip of the SWIM family. Each process probes one member an interval, directly and then
-/// through others, tells what it found with its datagrams, and denies what is said of it wrongly.
+/// Gossip membership of the SWIM family. Each process probes one member per interval, directly and then
+/// indirectly through other members, piggybacks what it learned on its datagrams, and refutes false
+/// suspicions of itself.
 ///
-/// A process judges members of its own region only; a few of each region (by rendezvous hash, so without an
-/// election) talk to the other regions. Every container is bounded, and bytes are bounded by a token bucket.
+/// A process suspects members of its own region only; a few members of each region,
+/// selected by rendezvous hash without an election, probe the other regions. Every container is bounded, and
+/// a token bucket limits the bytes sent.
 class membership
 {
 public:
-    /// A process that starts at `now`; `seed` is for its random choices.
+    /// Starts the protocol at `now`; `seed` initialises the random choices.
     membership(membership_settings settings, std::uint64_t seed, instant now);
 
-    /// A datagram arrived whose seal was valid.
+    /// Handles a received datagram whose seal is valid.
     [[nodiscard]] auto receive(instant now, const datagram& message, const std::string& from)
         -> membership_outputs;
-    /// Time passes; called several times a probe interval.
+    /// Runs the timers; called several times per probe interval.
     [[nodiscard]] auto tick(instant now) -> membership_outputs;
-    /// This process is stopping: tells others, and goes on answering.
+    /// Announces that this process is stopping; it continues to respond to probes.
     [[nodiscard]] auto leave() -> membership_outputs;
-    /// Tells some members at once about the bundle in force and operators' words.
+    /// Sends the bundle in force and operators' notices to some members immediately.
     [[nodiscard]] auto announce() -> membership_outputs;
-    /// Asks up to `count` members of different failure domains which bundle they have in force.
+    /// Pings up to `count` members, of different failure domains first, to learn which bundle they have in
+    /// force.
     [[nodiscard]] auto ask_peers(std::size_t count) -> membership_outputs;
 
-    /// The bundle in force at this process, to be told with every datagram.
+    /// Sets the bundle in force at this process, which is sent with every datagram.
     void set_word(const std::optional<bundle_notice>& word) { word_ = word; }
-    /// Operators' words known here: fresh ones are passed on by `pass_on`, all are repeated slowly.
+    /// Sets the operators' notices known to this process. New ones are propagated by `pass_on`; all of them
+    /// are repeated at a low rate.
     void set_drains(std::vector<drain_notice> words) { drains_ = std::move(words); }
-    /// Passes on an operator's word that was news here.
+    /// Propagates an operator's notice that was new to this process.
     void pass_on(const drain_notice& word) { news_.add(word); }
-    /// More addresses to join by, such as those of the host list; at most 64 are kept.
+    /// Adds addresses used to join, such as those of the host list; at most 64 are kept.
     void add_seeds(const std::vector<std::string>& addresses);
 
-    /// What is believed about every other process.
+    /// State of every other process.
     [[nodiscard]] auto table() const -> const member_table& { return table_; }
-    /// What this process says about itself.
+    /// Update that this process sends about itself.
     [[nodiscard]] auto self() const -> const member_update& { return self_; }
-    /// Whether this process hears from nobody although it knows members.
+    /// Whether this process receives no datagrams although it knows live members.
     [[nodiscard]] auto isolated(instant now) const -> bool;
-    /// When the last peer was asked that answered with the bundle in force here, or with none newer; nothing
-    /// before the first such answer. An answer that waited in the socket while this process was paused counts
-    /// from its question.
+    /// Send time of the last probe whose acknowledgement reported the bundle in force here or an older one;
+    /// empty before the first. The send time is used, as an acknowledgement may have waited in the socket
+    /// while this process was paused.
     [[nodiscard]] auto bundle_confirmed() const -> std::optional<instant> { return bundle_confirmed_; }
-    /// Counts, for metrics.
+    /// Counters, for metrics.
     [[nodiscard]] auto counts() const -> const membership_counts& { return counts_; }
 
 private:
--- a/include/dragonflymill/membership/news_queue.h
+++ b/include/dragonflymill/membership/news_queue.h
@@ -10,21 +10,22 @@
 
 namespace dragonflymill {
 
-/// News waiting to be passed on with datagrams: each a bounded number of times, the freshest first.
+/// Updates queued for propagation with datagrams: each is sent a bounded number of times, the least sent
+/// first.
 ///
-/// Bound: 2,048 members and 64 operators' words; when full, the one told most often goes.
+/// Bound: 2,048 members and 64 operators' notices; when full, the update sent most often is evicted.
 class news_queue
 {
 public:
-    /// Queues news about a member in place of older news about it.
+    /// Queues an update about a member; replaces a queued one about the same member.
     void add(const member_update& update);
-    /// Queues an operator's word in place of an older one on the same subject.
+    /// Queues an operator's notice; replaces a queued one on the same subject.
     void add(const drain_notice& word);
 
-    /// Fills a datagram with news of at most `bytes`; each is told at most `times` times in all.
+    /// Adds updates of at most `bytes` bytes to a datagram; each is sent at most `times` times in total.
     void fill(datagram& message, std::size_t bytes, std::uint32_t times);
 
-    /// Members with news waiting.
+    /// Number of queued member updates.
     [[nodiscard]] auto size() const -> std::size_t { return members_.size(); }
 
 private:
@@ -43,7 +44,7 @@
     std::map<drain_subject, drain_news> drains_;
 };
 
-/// Upper bound of the bytes that an operator's word takes in a datagram.
+/// Upper bound of the encoded size of an operator's notice, in bytes.
 [[nodiscard]] auto size_bound(const drain_notice& word) -> std::size_t;
 
 } // namespace dragonflymill
--- a/include/dragonflymill/membership/replay_window.h
+++ b/include/dragonflymill/membership/replay_window.h
@@ -6,11 +6,12 @@
 
 namespace dragonflymill {
 
-/// Recognises datagrams of one sender that come again, so that a recorded one can't be played back.
+/// Detects duplicate datagrams of one sender, so that a recorded datagram can't be replayed.
 class replay_window
 {
 public:
-    /// Whether the counter is new for this start of the sender; it is not new a second time.
+    /// Returns whether the counter is new for this incarnation of the sender, and marks it as seen. Returns
+    /// false for an earlier incarnation and for a counter too old for the window.
     [[nodiscard]] auto accept(incarnation start, std::uint64_t counter) -> bool
     {
         if (start != start_) {
--- a/include/dragonflymill/route/baseline_policies.h
+++ b/include/dragonflymill/route/baseline_policies.h
@@ -7,11 +7,11 @@
 
 namespace dragonflymill {
 
-/// Baseline: each candidate in turn.
+/// Baseline policy: takes the candidates round-robin.
 class round_robin
 {
 public:
-    /// Chooses the next candidate.
+    /// Chooses the candidate that follows the one of the previous call.
     [[nodiscard]] auto choose(instant now, const route_request& request, const upstream_table& table,
                               const prefix_map& prefixes) -> route_decision;
 
@@ -20,11 +20,11 @@
     std::uint64_t turn_ = 0;
 };
 
-/// Baseline: the candidate with the fewest own requests in flight.
+/// Baseline policy: the candidate with the fewest requests of this gateway in flight.
 class least_outstanding
 {
 public:
-    /// Chooses the candidate with the fewest own requests; among equals the next in turn.
+    /// Chooses the candidate with the fewest own requests in flight; ties are broken round-robin.
     [[nodiscard]] auto choose(instant now, const route_request& request, const upstream_table& table,
                               const prefix_map& prefixes) -> route_decision;
 
@@ -33,17 +33,17 @@
     std::uint64_t turn_ = 0;
 };
 
-/// Baseline: the less loaded of two candidates drawn at random.
+/// Baseline policy: the less loaded of two candidates drawn at random.
 class power_of_two
 {
 public:
-    /// Draws with the sequence that belongs to `seed`.
+    /// `seed` initialises the random sequence.
     explicit power_of_two(std::uint64_t seed)
         : random_(seed)
     {
     }
 
-    /// Chooses by queued prefill, the load word corrected by own work.
+    /// Compares queued prefill, then running requests, both as of the last load report corrected by own work.
     [[nodiscard]] auto choose(instant now, const route_request& request, const upstream_table& table,
                               const prefix_map& prefixes) -> route_decision;
 
--- a/include/dragonflymill/route/engine_priority.h
+++ b/include/dragonflymill/route/engine_priority.h
@@ -6,8 +6,9 @@
 
 namespace dragonflymill {
 
-/// Priority of a class at an engine; 0 is served first. Gangs go before bulk: while one waits in line it
-/// holds the memory of several engines, so that bulk prompts behind it can't get in either.
+/// Scheduling priority of a length class at an engine; 0 is served first. Gang requests precede bulk
+/// requests: a waiting gang request reserves memory on several engines, which also blocks the bulk prompts
+/// behind it.
 [[nodiscard]] constexpr auto engine_priority(length_class size) -> std::size_t
 {
     switch (size) {
@@ -23,7 +24,7 @@
     return 3;
 }
 
-/// Priority of work that may wait for the night: behind every class.
+/// Priority of deferrable overnight work: lower than every length class.
 inline constexpr std::size_t overnight_engine_priority = length_class_count;
 
 } // namespace dragonflymill
--- a/include/dragonflymill/route/length_lanes.h
+++ b/include/dragonflymill/route/length_lanes.h
@@ -6,9 +6,9 @@
 
 namespace dragonflymill {
 
-/// Marks `share` of each model's upstreams, spread over the failure domains, as not taking bulk prefill, so
-/// that short requests always find an engine without any. Every gateway marks the same ones, with no message,
-/// since all of them work it out from the same bundle. A model with one upstream keeps it for everything.
+/// Reserves `share` of each model's upstreams, spread over the failure domains, for short requests by
+/// excluding them from bulk prefill. Every gateway computes the same selection from the same bundle, so no
+/// messages are needed. At least one upstream of each model stays unreserved.
 void reserve_for_short(double share, std::span<upstream_description> upstreams);
 
 } // namespace dragonflymill
--- a/include/dragonflymill/route/prefix_map.h
+++ b/include/dragonflymill/route/prefix_map.h
@@ -11,56 +11,58 @@
 
 namespace dragonflymill {
 
-/// What happened in an engine's prefix cache.
+/// Kind of a prefix cache event.
 enum class cache_event_kind
 {
-    stored,  ///< The blocks are cached now.
-    evicted, ///< The blocks are no longer cached.
+    stored,  ///< The blocks were added to the cache.
+    evicted, ///< The blocks were removed from the cache.
 };
 
-/// One event of an engine's prefix cache. Events come late, doubled and with gaps.
+/// Event of an engine's prefix cache. Events may be delayed, duplicated, reordered or lost.
 struct cache_event
 {
-    std::uint64_t sequence = 0;                       ///< Rises by one with each event of an engine's start.
-    cache_event_kind kind = cache_event_kind::stored; ///< What happened.
-    std::vector<block_hash> blocks;                   ///< To which blocks.
+    std::uint64_t sequence = 0; ///< Consecutive number within one incarnation of the engine.
+    cache_event_kind kind = cache_event_kind::stored; ///< Kind of the change.
+    std::vector<block_hash> blocks;                   ///< Blocks concerned.
 
     friend auto operator==(const cache_event&, const cache_event&) -> bool = default;
 };
 
-/// Tokens of a prompt that an upstream likely has in its cache.
+/// Estimate of how much of a prompt an upstream has in its prefix cache.
 struct prefix_match
 {
-    std::uint64_t upstream_hash = 0; ///< `stable_hash` of the upstream's name.
-    token_count tokens = 0;          ///< Matched tokens, weighed by the trust in what is known of it.
+    std::uint64_t upstream_hash = 0; ///< `stable_hash` of the upstream's id.
+    token_count tokens = 0; ///< Matched tokens, multiplied by the trust in the data about this upstream.
 
     friend auto operator==(const prefix_match&, const prefix_match&) -> bool = default;
 };
 
-/// Which blocks of prompts are likely cached where: learned from own sends, refined by cache events. It is a
-/// hint that only changes costs; an answer is right whatever it says.
+/// Estimates which upstreams have which prompt blocks in their prefix cache. It learns from the requests that
+/// this gateway sends and from cache events. The estimate affects only routing costs, never the correctness
+/// of a response.
 class prefix_map
 {
 public:
-    /// Upstreams remembered for one block; a further one replaces the one noted first.
+    /// Upstreams stored for one block; a further one replaces the one that was added first.
     static constexpr std::size_t max_holders = 8;
 
-    /// Holds at most `max_blocks` blocks; when full, the block used longest ago goes.
+    /// Stores at most `max_blocks` blocks; when full, the least recently used block is evicted.
     explicit prefix_map(std::size_t max_blocks = 65'536);
 
-    /// Notes that a prompt with these blocks was sent to an upstream, which will cache them.
+    /// Records that a prompt with these blocks was sent to an upstream, which will cache them.
     void sent(const upstream_id& upstream, std::span<const block_hash> blocks);
-    /// Takes in a cache event. A gap in the sequence lowers the trust in what is known of the upstream; an
-    /// event that came before is dropped.
+    /// Applies a cache event. A gap in the sequence lowers the trust in the data about the upstream; a
+    /// duplicate or out-of-order event is ignored.
     void event(const upstream_id& upstream, const cache_event& event);
-    /// Drops what is known of an upstream: its engine restarted, or it left.
+    /// Removes all data about an upstream, because its engine restarted or it left.
     void forget(const upstream_id& upstream);
-    /// Fills `matches` with the upstreams that likely hold a prefix of the prompt; at most `max_holders`.
+    /// Fills `matches` with the upstreams that likely have a prefix of the prompt cached; at most
+    /// `max_holders`.
     void lookup(std::span<const block_hash> blocks, std::vector<prefix_match>& matches) const;
 
-    /// Trust in what is known of an upstream, from 0 to 1.
+    /// Trust in the data about an upstream, from 0 to 1; 1 for an unknown upstream.
     [[nodiscard]] auto trust(const upstream_id& upstream) const -> double;
-    /// Blocks held now.
+    /// Number of stored blocks.
     [[nodiscard]] auto size() const -> std::size_t { return index_.size(); }
 
 private:
@@ -95,9 +97,9 @@
     void link_newest(std::uint32_t i);
 
     std::size_t max_blocks_;
-    std::vector<holder_state> holders_; // at most `no_slot`, places of forgotten ones are used again
+    std::vector<holder_state> holders_; // at most `no_slot`; slots of removed upstreams are reused
     std::vector<entry> entries_;        // at most `max_blocks_`
-    std::unordered_map<block_hash, std::uint32_t> index_; // looked up only, never walked
+    std::unordered_map<block_hash, std::uint32_t> index_; // for lookup; iteration order is unspecified
     std::uint32_t newest_ = no_entry;
     std::uint32_t oldest_ = no_entry;
 };
--- a/include/dragonflymill/route/route_request.h
+++ b/include/dragonflymill/route/route_request.h
@@ -8,16 +8,16 @@
 
 namespace dragonflymill {
 
-/// What routing needs to know of a request.
+/// Properties of a request that routing uses.
 struct route_request
 {
-    request_id id;                     ///< The request; breaks ties between equal upstreams.
-    model_id model;                    ///< Model it asks for.
-    adapter_id adapter;                ///< Adapter it asks for; empty for none.
-    token_count prompt_tokens = 0;     ///< Length of the prompt.
-    token_count max_tokens = 0;        ///< Most tokens of the answer.
+    request_id id;                     ///< Id of the request; breaks ties between equal upstreams.
+    model_id model;                    ///< Requested model.
+    adapter_id adapter;                ///< Requested adapter; empty for none.
+    token_count prompt_tokens = 0;     ///< Length of the prompt, in tokens.
+    token_count max_tokens = 0;        ///< Maximum output length, in tokens.
     std::vector<block_hash> blocks;    ///< Chained hashes of the prompt's blocks, from its start.
-    std::vector<upstream_id> excluded; ///< Upstreams that failed this request before.
+    std::vector<upstream_id> excluded; ///< Upstreams on which earlier attempts of this request failed.
 
     friend auto operator==(const route_request&, const route_request&) -> bool = default;
 };
--- a/include/dragonflymill/route/router.h
+++ b/include/dragonflymill/route/router.h
@@ -6,33 +6,32 @@
 
 namespace dragonflymill {
 
-/// A gateway's routing: the table, the prefix map and a policy, kept in step with each other.
+/// Routing of a gateway: combines the upstream table, the prefix map and a policy, and keeps them consistent.
 template <routing_policy Policy>
 class router
 {
 public:
-    /// Starts with an empty table.
     explicit router(Policy policy, upstream_table_settings settings = {})
         : table_(settings)
         , policy_(std::move(policy))
     {
     }
 
-    /// The upstreams; configuration, load words, membership and drains go in here.
+    /// Upstream table, to which configuration, load reports, membership changes and drains are applied.
     [[nodiscard]] auto table() -> upstream_table& { return table_; }
-    /// The upstreams.
+    /// Upstream table, read-only.
     [[nodiscard]] auto table() const -> const upstream_table& { return table_; }
-    /// What is likely cached where; cache events go in here.
+    /// Prefix cache estimate, to which cache events are applied.
     [[nodiscard]] auto prefixes() -> prefix_map& { return prefixes_; }
 
-    /// Chooses an upstream; nothing is noted until `sent`.
+    /// Chooses an upstream. The table and the prefix map don't change until `sent` is called.
     [[nodiscard]] auto choose(instant now, const route_request& request) -> route_decision
     {
         return policy_.choose(now, request, table_, prefixes_);
     }
 
-    /// Notes that the request goes to the upstream chosen; false if it has too many tries in flight: then the
-    /// request may not be sent there.
+    /// Records that the request is sent to the chosen upstream. Returns false if that upstream has too many
+    /// attempts in flight; the request must not be sent there then.
     [[nodiscard]] auto sent(instant now, const route_request& request, attempt_number attempt,
                             const route_choice& choice) -> bool
     {
@@ -49,7 +48,8 @@
         return true;
     }
 
-    /// Takes in a load word; an engine that restarted has an empty cache.
+    /// Applies a load report. A later incarnation of the engine clears its entries in the prefix map, since
+    /// its cache is empty.
     void report(instant now, const upstream_id& upstream, const upstream_load& load)
     {
         const upstream_record* record = table_.find(upstream);
--- a/include/dragonflymill/route/routing_policy.h
+++ b/include/dragonflymill/route/routing_policy.h
@@ -9,48 +9,49 @@
 
 namespace dragonflymill {
 
-/// Why an upstream was chosen; stands in the time line.
+/// Why an upstream was chosen; recorded in the request's timeline.
 enum class route_reason
 {
-    round_robin,       ///< It was its turn.
-    least_outstanding, ///< It has the fewest own requests.
-    power_of_two,      ///< The less loaded of two drawn.
-    only_candidate,    ///< No other may take it.
-    prefix_cached,     ///< It likely has a part of the prompt in its cache.
-    prefix_home,       ///< The prompt's beginning belongs there by its hash.
-    left_home,         ///< The home has too much load; this one has the least predicted cost.
-    least_predicted,   ///< It has the least predicted cost.
-    cold_upstream,     ///< It is warming up and has room.
+    round_robin,       ///< Next in round-robin order.
+    least_outstanding, ///< Fewest requests of this gateway in flight.
+    power_of_two,      ///< Less loaded of two random candidates.
+    only_candidate,    ///< The only eligible upstream.
+    prefix_cached,     ///< Likely has a prefix of the prompt cached.
+    prefix_home,       ///< Preferred upstream for the hash of the prompt's first blocks.
+    left_home,         ///< Lowest predicted cost, as the preferred upstream is overloaded.
+    least_predicted,   ///< Lowest predicted cost.
+    cold_upstream,     ///< Still warming up, within its ramp limit.
 };
 
-/// Name of a reason, as it stands in the time line.
+/// Name of a reason as written to the timeline.
 [[nodiscard]] auto to_string(route_reason reason) -> const char*;
 
-/// Where a request goes.
+/// Routing result: the chosen upstream and the prediction for it.
 struct route_choice
 {
-    upstream_id upstream;                               ///< To this upstream,
-    route_reason reason = route_reason::only_candidate; ///< for this reason,
-    length_class size = length_class::interactive;      ///< as a request of this class,
-    token_count prefill = 0;                            ///< with so many tokens likely not cached,
-    duration predicted_first_token{0};                  ///< and its first token expected after this time.
+    upstream_id upstream;                               ///< Chosen upstream.
+    route_reason reason = route_reason::only_candidate; ///< Why it was chosen.
+    length_class size = length_class::interactive;      ///< Length class of the request on this upstream.
+    token_count prefill = 0;                            ///< Predicted prefill, in tokens not cached there.
+    duration predicted_first_token{0};                  ///< Predicted time to first token.
 
     friend auto operator==(const route_choice&, const route_choice&) -> bool = default;
 };
 
-/// No upstream may take the request now.
+/// Routing result when no upstream is eligible.
 struct route_refusal
 {
-    refusal_code code = refusal_code::no_route; ///< Why.
-    duration retry_after{0};                    ///< When to come back; zero when coming back can't help.
+    refusal_code code = refusal_code::no_route; ///< Refusal sent to the client.
+    duration retry_after{0};                    ///< Delay before a retry; zero if a retry can't succeed.
 
     friend auto operator==(const route_refusal&, const route_refusal&) -> bool = default;
 };
 
-/// What a policy decides.
+/// Result of a routing policy.
 using route_decision = std::variant<route_choice, route_refusal>;
 
-/// A way to choose an upstream. The same inputs in the same order give the same choices.
+/// Requirements on a routing policy. A policy is deterministic: the same inputs in the same order give the
+/// same choices.
 template <typename P>
 concept routing_policy = requires(P policy, instant now, const route_request& request,
                                   const upstream_table& table, const prefix_map& prefixes)
@@ -60,9 +61,9 @@
         } -> std::same_as<route_decision>;
 };
 
-/// The refusal for an empty candidate list.
+/// Refusal for an empty candidate list.
 [[nodiscard]] auto refuse_route(const candidate_list& none) -> route_refusal;
-/// The choice of `record` for the request when `cached` tokens are likely in its cache.
+/// Choice of `record` for the request when `cached` tokens are likely in its prefix cache.
 [[nodiscard]] auto choose_route(const upstream_record& record, const route_request& request,
                                 token_count cached, route_reason reason) -> route_choice;
 
--- a/include/dragonflymill/route/subset.h
+++ b/include/dragonflymill/route/subset.h
@@ -8,21 +8,21 @@
 
 namespace dragonflymill {
 
-/// How a gateway's subset of the upstreams is chosen.
+/// Settings of the upstream subset of a gateway.
 struct subset_settings
 {
-    process_id gateway;              ///< This gateway; another one gets another subset.
-    region_id region;                ///< Its region; upstreams of others only fill up.
-    std::size_t per_model = 16;      ///< Upstreams of each model.
-    std::size_t max_upstreams = 640; ///< Upstreams in all.
+    process_id gateway; ///< Id of this gateway; each gateway gets a different subset.
+    region_id region; ///< Region of this gateway; upstreams of other regions are used only if it has too few.
+    std::size_t per_model = 16;      ///< Upstreams per model.
+    std::size_t max_upstreams = 640; ///< Upstreams in total.
 
     friend auto operator==(const subset_settings&, const subset_settings&) -> bool = default;
 };
 
-/// The upstreams that a gateway tracks in detail, by name: for each model the ones with the highest
-/// rendezvous score, taken in turn from each failure domain of the own region and then from the other
-/// regions. The same bundle gives the same subset; one upstream more or less moves at most one place a model.
-/// Models at the end of the name order get fewer if `max_upstreams` is reached.
+/// Returns the upstreams that a gateway tracks in detail, sorted by id: for each model those with the highest
+/// rendezvous scores, taken round-robin from the failure domains of its own region and then from the other
+/// regions. The result depends only on the bundle and the gateway; adding or removing one upstream changes at
+/// most one entry per model. If `max_upstreams` is reached, models late in name order get fewer.
 [[nodiscard]] auto choose_subset(const subset_settings& settings,
                                  std::span<const upstream_description> upstreams)
     -> std::vector<upstream_description>;
--- a/src/drain/drain_state.cpp
+++ b/src/drain/drain_state.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// The earliest word of "out" is the one that counts.
+// Returns the drain that took effect first.
 auto earlier(std::optional<drain_status> a, std::optional<drain_status> b) -> std::optional<drain_status>
 {
     if (!a || !b) {
@@ -71,8 +71,9 @@
             entry.leaving_start = entry.start;
         }
         else if (entry.listed_leaving && entry.start > entry.leaving_start) {
-            // A list that lags may show `live` from before the host began to leave; work sent then would be
-            // cut off when the host goes. Only a process started after the word shows that the host is back.
+            // A lagging list may still show `live` from before the host began to leave; new work would be cut
+            // off when the host goes. Only a process started after the `leaving` entry shows that the host is
+            // back.
             entry.listed_leaving.reset();
         }
     }
@@ -84,15 +85,14 @@
     auto& entry = host_entry_of(now, host);
     entry.heard = now;
     entry.start = std::max(entry.start, start);
-    // A goodbye that was long under way is about a start that is over: it says nothing of the one heard
-    // since.
+    // A delayed "leaving" of an earlier incarnation says nothing about the current one.
     if (leaving && start >= entry.start) {
         entry.said_leaving = entry.said_leaving.value_or(now);
         entry.said_start = start;
     }
     else if (!leaving && start > entry.said_start) {
-        // A paused process that wakes may still say "alive" for a start that has said "leaving" since; only
-        // a later start takes the word back.
+        // A resumed process may still send "alive" for an incarnation that has announced "leaving"; only a
+        // later incarnation ends the drain.
         entry.said_leaving.reset();
     }
 }
@@ -125,8 +125,8 @@
     return drain_status{found->second.since, drain_source::operators};
 }
 
-// Guards against new work for what operators took out: it shows as requests lost in the middle when the
-// power goes. Every path that can carry the word is asked, and none can be overruled by another.
+// Guards against new work for drained subjects, which would be lost in the middle of processing at the
+// power-off. Every source is checked, and none can override another.
 auto drain_state::status(const failure_domain_id& domain) const -> std::optional<drain_status>
 {
     if (!guard_holds(guard::drain)) {
--- a/src/membership/datagram_seal.cpp
+++ b/src/membership/datagram_seal.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::size_t max_keys = 2;
 
-// The first half of an HMAC-SHA256 is as good as the whole where each guess costs a datagram.
+// HMAC-SHA256 truncated to 16 bytes: sufficient, since each forgery attempt costs a datagram.
 auto compute_mac(const std::string& key, std::string_view content) -> std::string
 {
     std::string full(EVP_MAX_MD_SIZE, '\0');
@@ -30,8 +30,9 @@
     const bool long_enough =
         std::all_of(keys.begin(), keys.end(), [](const auto& key) { return key.size() >= min_key_bytes; });
     if (keys.empty() || keys.size() > max_keys || !long_enough) {
-        return error(error_kind::invalid_input, "the membership key is missing or too short",
-                     "set one key of at least 16 bytes, or two while it is being changed");
+        return error(error_kind::invalid_input,
+                     "invalid membership keys: one or two keys of at least 16 bytes are required",
+                     "set one key of at least 16 bytes, or two during key rotation");
     }
     return datagram_seal(std::move(keys));
 }
--- a/src/membership/member.cpp
+++ b/src/membership/member.cpp
@@ -11,7 +11,7 @@
     return std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c < '\x7f'; });
 }
 
-// Tags, lengths and numbers of an encoded update, beside its texts.
+// Encoded size of the tags, lengths and numbers of an update, without its strings.
 constexpr std::size_t fixed_update_bytes = 48;
 
 } // namespace
@@ -31,9 +31,9 @@
     return "dead";
 }
 
-// Guards against a process that left and is believed alive again because an older "alive" arrives late, or
-// because a paused peer wakes and repeats what it knew: it shows as new work for a process that stops. The
-// process itself said "leaving", so nothing about the same start may undo it.
+// Guards against new work for a stopping process: an older "alive" that arrives late, or that a resumed peer
+// repeats, must not revive it. The process itself announced "leaving", so no update about the same
+// incarnation overrides it.
 auto overrides(const member_update& news, const member_update& known) -> bool
 {
     if (news.number.start != known.number.start) {
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -28,7 +28,7 @@
         return false;
     }
     count(record.update, false);
-    // A new number starts a new suspicion: one that was denied must not shorten the next.
+    // A new number restarts the suspicion time: a refuted suspicion must not shorten the next one.
     if (record.update.state != update.state || record.update.number != update.number) {
         record.since = now;
         record.silent = false;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::size_t max_seeds = 64;
-// What a datagram takes beside its news: UDP/IP header, seal, sender, bundle word, numbers.
+// Size of a datagram without updates: UDP/IP header, seal, sender, bundle notice, numbers.
 constexpr std::size_t datagram_base_bytes = 28 + 16 + 140 + 48 + 32;
 constexpr std::uint32_t transmissions_per_doubling = 3;
 
@@ -53,7 +53,7 @@
 auto membership::ask_peers(std::size_t count) -> membership_outputs
 {
     auto order = table_.sample(random_, table_.records().size(), is_live);
-    // One of each failure domain first, then anyone.
+    // One member of each failure domain first, then the others.
     std::set<failure_domain_id> domains;
     std::stable_partition(order.begin(), order.end(), [&domains](const auto* record) {
         return domains.insert(record->update.info.domain).second;
@@ -108,7 +108,7 @@
     message.word = word_;
     message.members_digest = digest();
     message.members_count = static_cast<std::uint32_t>(table_.live_count() + 1);
-    // Whom others gave up must hear of it to deny it; waiting for the news to come round could take long.
+    // A suspect or dead member must receive this state to refute it; waiting for gossip could take long.
     const auto* record = table_.find(receiver);
     if (record != nullptr && record->update.state != member_state::alive) {
         message.news.push_back(record->update);
--- a/src/membership/membership_receive.cpp
+++ b/src/membership/membership_receive.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <iterator>
 
-// What a membership does when a datagram arrives.
+// Handling of received datagrams.
 
 namespace dragonflymill {
 
@@ -13,8 +13,8 @@
 constexpr std::size_t max_regions = 16;
 constexpr std::size_t max_page_members = 12;
 constexpr std::size_t page_bytes = 880;
-// A process that runs for longer has been noticed by others: a later start of its name is a successor. A
-// younger one hears of its own predecessor, whose clock was ahead.
+// A later incarnation of this process's own id is a successor if this process has run longer than this, as
+// the others know it by then. A younger process sees its own predecessor, whose clock was ahead.
 constexpr duration min_uptime_to_yield = 30s;
 constexpr duration mismatch_before_sync = 15s;
 constexpr duration mismatch_before_sync_with_larger = 2s;
@@ -35,7 +35,8 @@
     }
     const auto* record = table_.find(sender.info.id);
     if (record != nullptr && record->update.number.start > sender.number.start) {
-        // A paused process woke beside its successor: it is told of it, and nothing it says counts.
+        // A process that was paused has a successor: it receives the successor's state, and its datagram is
+        // ignored.
         ++counts_.out_of_date;
         const auto successor = record->update;
         send(from, sender.info.id, announce_message{}, outputs);
@@ -60,7 +61,8 @@
     return outputs;
 }
 
-// Whether the datagram is new; one of a sender that has no room in the table is taken as it is.
+// Returns whether the datagram is new. Datagrams of a sender that doesn't fit in the table are accepted
+// unchecked.
 auto membership::known(const datagram& message) -> bool
 {
     auto* record = table_.find(message.sender.info.id);
@@ -170,7 +172,8 @@
     auto at = table_.records().upper_bound(request.after);
     for (; at != table_.records().end() && members.size() < max_page_members; ++at) {
         const auto& record = at->second;
-        // What will soon be forgotten is not handed on, so that it can't outlive its time from hand to hand.
+        // Entries near the end of their retention are omitted; otherwise processes would keep reintroducing
+        // them to each other.
         const bool near_expiry = !is_live(record) && now - record.since >= settings_.retention / 2;
         if (record.second_hand || near_expiry) {
             continue;
@@ -183,7 +186,7 @@
         members.push_back(record.update);
     }
     send(from, message.sender.info.id, sync_page_message{at == table_.records().end()}, outputs);
-    // The page takes the place of queued news, which go with other datagrams too.
+    // The page replaces the queued updates, which are also sent with other datagrams.
     std::get<send_datagram>(outputs.back()).message.news = std::move(members);
     budget_ -= std::min(budget_, bytes);
 }
@@ -206,8 +209,8 @@
 
 void membership::compare_digest(instant now, const datagram& message)
 {
-    // Kept for each region: this region's members soon agree among themselves, while what the other region
-    // knows is heard through few.
+    // Tracked per region: members of this region converge quickly, while updates from other regions arrive
+    // through few members.
     const auto& region = message.sender.info.region;
     if (message.members_digest == digest()) {
         differs_since_.erase(region);
@@ -218,9 +221,9 @@
         return;
     }
     const auto since = differs_since_.try_emplace(region, now).first->second;
-    // News under way make tables differ for some seconds all the time; only a difference that stays is worth
-    // a page for page comparison.
-    // One that knows more members is asked soon: when many start together, news alone take too long.
+    // Updates in flight make tables differ for some seconds at any time; only a lasting difference justifies
+    // a page-by-page sync. A peer that knows more members is asked earlier, since gossip alone takes too long
+    // when many processes start together.
     const bool knows_more = message.members_count > table_.live_count() + 1;
     const auto sync_delay = knows_more ? mismatch_before_sync_with_larger : mismatch_before_sync;
     const bool should_sync = !joined_ || now - since >= sync_delay;
--- a/src/membership/membership_tick.cpp
+++ b/src/membership/membership_tick.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-// What a membership does as time passes.
+// Timers of the membership protocol.
 
 namespace dragonflymill {
 
@@ -48,8 +48,9 @@
     return outputs;
 }
 
-// Guards against a process that was paused and takes its own silence for that of all others: it shows as
-// dozens of members declared dead at once by a host that just woke. What was due while it slept is void.
+// Guards against mass suspicion after a pause: a resumed process would take its own silence for that of all
+// others and declare dozens of members dead. Probes and suspicion times that were due during the pause are
+// discarded or extended.
 void membership::note_pause(instant now)
 {
     const auto gap = now - last_tick_;
@@ -69,14 +70,16 @@
 
 void membership::judge_suspects(instant now, membership_outputs& outputs)
 {
-    // Cut off itself, a process sees everyone silent and must not spread that once it is back.
+    // An isolated process gets no responses from anyone; it must not spread false deaths once it is
+    // reconnected.
     if (isolated(now)) {
         return;
     }
     std::vector<member_record> overdue;
     for (const auto& [id, record] : table_.records()) {
         const bool in_own_region = record.update.state == member_state::suspect && same_region(record);
-        // Those who did not ask it themselves leave the verdict to those who did.
+        // Processes that didn't probe it themselves wait twice as long, leaving the decision to those that
+        // did.
         const auto timeout = record.silent ? settings_.suspicion : 2 * settings_.suspicion;
         if (in_own_region && now - record.since >= timeout) {
             overdue.push_back(record);
@@ -121,8 +124,8 @@
     }
 }
 
-// Tells those suspected by this process, so that one that lives can deny it at once: waiting for the news to
-// come round to it would take most of the time that it has.
+// Pings the members suspected by this process, so that a live one can refute at once; waiting for gossip to
+// reach it would use up most of its suspicion time.
 void membership::warn_suspects(membership_outputs& outputs)
 {
     const auto suspects = table_.sample(random_, max_suspect_pings, [](const member_record& record) {
@@ -142,7 +145,7 @@
     }
 }
 
-// Goes round the members in an order drawn anew each time round, so that each is probed within two rounds.
+// Iterates over the members in an order shuffled in each round, so that each is probed within two rounds.
 auto membership::next_target() -> const member_record*
 {
     for (int round = 0; round < 2; ++round) {
@@ -177,8 +180,8 @@
     return higher_scores < settings_.bridges;
 }
 
-// One member of the other regions an interval. Its silence is no verdict: the regions may have lost each
-// other, and each judges its own.
+// Probes one member of the other regions per interval. A missing response causes no suspicion: the regions
+// may be partitioned, and each region decides about its own members.
 void membership::probe_other_regions(membership_outputs& outputs)
 {
     const auto remote_members = table_.sample(
@@ -188,7 +191,8 @@
     }
 }
 
-// Dead members are asked now and then: after a partition nobody else would speak to them.
+// Probes a dead member at a low rate; otherwise the sides of a healed partition would never contact each
+// other.
 void membership::probe_lost_ones(instant now, membership_outputs& outputs)
 {
     if (now < next_lost_) {
@@ -223,7 +227,7 @@
     }
     const auto* record = table_.find(sync_.peer);
     if (sync_.waiting || record == nullptr || !is_live(*record)) {
-        // The peer did not answer: the rest is asked of someone else.
+        // The peer didn't respond: the remaining pages are requested from another member.
         const auto other = table_.sample(random_, 1, is_live);
         if (other.empty()) {
             sync_ = {};
--- a/src/membership/news_queue.cpp
+++ b/src/membership/news_queue.cpp
@@ -20,7 +20,7 @@
     }
 }
 
-// Iterators of the items, those told least often first; names break ties, so that the order repeats.
+// Iterators of the items, the least sent first; ties keep the order of names, for determinism.
 template <typename Map>
 auto least_sent_first(Map& items) -> std::vector<typename Map::iterator>
 {
--- a/src/route/length_lanes.cpp
+++ b/src/route/length_lanes.cpp
@@ -15,7 +15,7 @@
 
 struct ranked_upstream
 {
-    std::size_t rank_in_domain = 0; // place within its failure domain
+    std::size_t rank_in_domain = 0; // rank within its failure domain
     std::uint64_t score = 0;
     std::size_t index = 0;
 };
--- a/src/route/predicted_first_token.cpp
+++ b/src/route/predicted_first_token.cpp
@@ -113,7 +113,7 @@
     const auto chunk = static_cast<double>(std::max<token_count>(1, description.prefill_chunk));
     const double growth = static_cast<double>(description.decode_step_growth.count());
     const double batch = steps * growth * static_cast<double>(record.running());
-    // Each step that also prefills a chunk of a longer prompt takes that much longer.
+    // An engine step that also prefills a chunk of a longer prompt takes longer by the chunk's prefill time.
     const double chunks = std::min(steps, queued_prefill(record) / chunk);
     return batch + chunks * chunk / std::max(1.0, description.prefill_rate) * microseconds_per_second;
 }
--- a/src/route/prefix_map.cpp
+++ b/src/route/prefix_map.cpp
@@ -10,8 +10,7 @@
 
 constexpr double trust_after_gap = 0.5;
 constexpr double min_trust = 0.1;
-/// Blocks that a lost event concerned are evicted in time, by events that are seen: so trust comes back
-/// slowly.
+/// Trust recovers slowly: blocks affected by a lost event are evicted over time, by events that are received.
 constexpr double trust_recovery_rate = 0.01;
 
 } // namespace
@@ -27,7 +26,7 @@
     if (holder == no_slot) {
         return;
     }
-    // From the end, so that the first blocks, which most prompts share, are the last to be dropped.
+    // In reverse order, so that the first blocks, which most prompts share, are evicted last.
     for (std::size_t i = blocks.size(); i > 0; --i) {
         add(blocks[i - 1], holder);
     }
@@ -41,7 +40,7 @@
     }
     auto& state = holders_[holder];
     if (event.sequence <= state.sequence) {
-        return; // doubled, or overtaken by a newer one: what it says may be undone since
+        return; // duplicate or out of order: a newer event may have undone it
     }
     const bool gap = state.sequence != 0 && event.sequence != state.sequence + 1;
     state.sequence = event.sequence;
--- a/src/route/subset.cpp
+++ b/src/route/subset.cpp
@@ -15,12 +15,12 @@
 struct scored_upstream
 {
     bool other_region = false;
-    std::size_t rank_in_domain = 0; // place within its failure domain
+    std::size_t rank_in_domain = 0; // rank within its failure domain
     std::uint64_t score = 0;
     std::size_t index = 0;
 };
 
-/// The upstreams of one model in the order in which this gateway takes them.
+/// Ranks the upstreams of one model in the order in which this gateway selects them.
 auto rank_upstreams(const subset_settings& settings, std::span<const upstream_description> upstreams,
                     const std::vector<std::size_t>& serving) -> std::vector<scored_upstream>
 {
--- a/src/route/upstream_record.cpp
+++ b/src/route/upstream_record.cpp
@@ -38,9 +38,8 @@
 
 auto upstream_record::takes_new_work() const -> bool
 {
-    // Guards against work sent into a failure domain that operators have taken out, or to a host that leaves:
-    // it would be cut off there. It holds because every policy draws its candidates through this one
-    // question.
+    // Guards against work sent to a drained failure domain or a leaving host, where it would be cut off.
+    // Every policy gets its candidates through this check.
     if (guard_holds(guard::drain) && (drained() || state_ == upstream_state::leaving)) {
         return false;
     }
@@ -57,7 +56,8 @@
 {
     const auto i = index_of(size);
     const token_count corrected = load_.queued_prefill[i] - own_done_since_[i] + own_unreported_[i];
-    // A word that lags, repeats or lies can't hide what this gateway itself is waiting for.
+    // The gateway's own waiting work is a lower bound, whatever a late, duplicated or wrong load report
+    // states.
     return std::max(corrected, own_waiting_[i]);
 }
 
@@ -80,7 +80,8 @@
     if (description_.memory == 0) {
         return std::numeric_limits<token_count>::max();
     }
-    // What waits holds no memory yet: it must not make an engine look full to requests that go before it.
+    // Queued work holds no KV cache yet; if it counted, an engine would look full to requests scheduled
+    // before it.
     const token_count used = std::max(load_.memory_used, own_context_);
     return std::max<token_count>(0, description_.memory - used);
 }
@@ -104,7 +105,7 @@
     const bool restarted = has_load_ && load.start > load_.start;
     const bool is_stale = has_load_ && (load.start < load_.start || (!restarted && measured < measured_at_));
     if (is_stale) {
-        return; // late, doubled or overtaken on its way: it would undo a newer word
+        return; // late, duplicated or reordered: it would overwrite a newer report
     }
     if (restarted) {
         own_.clear();
--- a/src/route/upstream_table.cpp
+++ b/src/route/upstream_table.cpp
@@ -12,7 +12,8 @@
     return record.description().id < id;
 }
 
-/// How near a request came to being taken; the nearest obstacle is the one to tell the caller.
+/// Ranks refusal reasons by how close the request came to being accepted; the highest one is reported to the
+/// client.
 auto obstacle_rank(refusal_code obstacle) -> int
 {
     switch (obstacle) {
@@ -31,7 +32,7 @@
     }
 }
 
-/// Why `record`, which serves the model, may not take the request; `internal` if it may.
+/// Why `record`, which serves the model, isn't eligible for the request; `internal` if it is.
 auto obstacle_of(const upstream_record& record, const route_request& request) -> refusal_code
 {
     const token_count context = request.prompt_tokens + request.max_tokens;
@@ -59,14 +60,14 @@
         return error(error_kind::limit_reached,
                      std::to_string(descriptions.size()) + " upstreams for a table of " +
                          std::to_string(settings_.max_upstreams),
-                     "make the subset smaller or the table larger");
+                     "reduce the subset's max_upstreams or raise that of the table");
     }
     std::sort(descriptions.begin(), descriptions.end(),
               [](const auto& a, const auto& b) { return a.id < b.id; });
     const auto have_same_name = [](const auto& a, const auto& b) { return a.id == b.id; };
     if (std::adjacent_find(descriptions.begin(), descriptions.end(), have_same_name) != descriptions.end()) {
-        return error(error_kind::invalid_input, "an upstream is listed twice",
-                     "give each upstream its own name");
+        return error(error_kind::invalid_input, "duplicate upstream id in the configuration",
+                     "give each upstream a unique id");
     }
     std::vector<upstream_record> next;
     next.reserve(descriptions.size());
