--- a/tests/drain/drain_state_test.cpp
+++ b/tests/drain/drain_state_test.cpp
@@ -27,7 +27,7 @@
 
 } // namespace
 
-Test(drain_state, the_earliest_word_counts_and_each_path_takes_back_its_own)
+Test(drain_state, earliest_drain_counts_and_each_source_ends_only_its_own)
 {
     drain_state state;
     cr_assert(state.accepts_new_work(domain_a, host_1));
@@ -41,7 +41,7 @@
     cr_assert(state.next_number(domain_a) == 3);
 }
 
-Test(drain_state, words_in_any_order_end_the_same)
+Test(drain_state, notices_in_any_order_give_the_same_state)
 {
     const std::vector<drain_notice> words{{domain_a, 1, true},
                                           {domain_a, 2, false},
@@ -58,7 +58,7 @@
         for (const auto& word : order) {
             static_cast<void>(state.operator_said(instant{}, word));
         }
-        cr_assert(state.drained_domains() == std::vector{domain_a}, "of one number, out counts");
+        cr_assert(state.drained_domains() == std::vector{domain_a}, "with equal numbers the drain must win");
         cr_assert(state.drained_hosts() == std::vector{host_1});
         cr_assert(state.words().size() == 2);
     }
@@ -75,14 +75,13 @@
     cr_assert(state.operator_said(instant{}, {host_id("y"), 1, true}));
     cr_assert(!state.operator_said(instant{}, {host_id("z"), 1, true}));
     state.host_list_read(instant{} + 10h, {});
-    cr_assert(state.drained_hosts().size() == 2, "hosts silent for an hour are forgotten, words are kept");
+    cr_assert(state.drained_hosts().size() == 2, "hosts not seen for an hour must be removed, notices kept");
 }
 
 FAULT_CELL(drain_leave, domain_out)
 {
-    // Operators take a failure domain out at short notice and see no new work in it from then on.
-    // Order: the command reaches this process by gossip, before any bundle says so.
-    // Cause: a bundle takes seconds to sign and spread; the first word by any path counts.
+    // Guards against waiting for a bundle, which takes seconds to sign and spread: an operators' notice that
+    // arrives by gossip first must drain the failure domain at once.
     drain_state state;
     state.bundle_adopted(instant{}, bundle_with(1, true));
     cr_assert(state.operator_said(instant{} + 1s, {domain_a, 1, true}));
@@ -92,9 +91,8 @@
 
 FAULT_CELL(drain_leave, host_list_lags)
 {
-    // Callers see no request cut off by a host that goes.
-    // Order: the process says that it is leaving; the host list still shows `live` for a while.
-    // Cause: the host list lags; only its `leaving` is binding.
+    // Guards against new work for a leaving host while the host list lags: `live` must not override the
+    // process's own announcement; only `leaving` in the list is binding.
     drain_state state;
     state.process_heard(instant{}, host_1, incarnation(5), false);
     state.process_heard(instant{} + 1s, host_1, incarnation(5), true);
@@ -104,9 +102,8 @@
 
 FAULT_CELL(drain_leave, config_down)
 {
-    // Operators drain a failure domain although the configuration service is down.
-    // Order: no bundle can be published; the word goes from process to process.
-    // Cause: a drain must not wait for the configuration service.
+    // Guards against a drain that depends on the configuration service: with the service down no bundle is
+    // published, and the operators' notice alone must drain the failure domain.
     drain_state state;
     cr_assert(state.operator_said(instant{}, {domain_a, 1, true}));
     cr_assert(state.drained_domains() == std::vector{domain_a});
@@ -114,9 +111,8 @@
 
 FAULT_CELL(drain_leave, message_doubled)
 {
-    // Nobody sees anything: a word that comes again is no news and doesn't move the time.
-    // Order: "out" comes twice, the second time ten seconds later.
-    // Cause: gossip tells everything several times.
+    // Guards against treating a duplicate notice as new: gossip delivers every notice several times, which
+    // must not change the start time of the drain.
     drain_state state;
     cr_assert(state.operator_said(instant{}, {domain_a, 1, true}));
     cr_assert(!state.operator_said(instant{} + 10s, {domain_a, 1, true}));
@@ -126,9 +122,8 @@
 
 FAULT_CELL(drain_return, message_reordered)
 {
-    // Without the guard a failure domain would take work again that operators took out a second time.
-    // Order: out, in, out again; the "in" arrives last.
-    // Cause: gossip reorders; the number of a word decides, not its arrival.
+    // Guards against reordered notices: the domain is drained, returned and drained again, and the return
+    // arrives last. The number of a notice decides, not its arrival.
     drain_state state;
     cr_assert(state.operator_said(instant{}, {domain_a, 1, true}));
     cr_assert(state.operator_said(instant{} + 1s, {domain_a, 3, true}));
@@ -138,9 +133,8 @@
 
 FAULT_CELL(drain_return, config_stale)
 {
-    // Without the guard a failure domain would get work back because somebody changed an account.
-    // Order: operators take it out by command; a bundle that shows it in service comes into force.
-    // Cause: 320 bundles a day, each written from a source that knows nothing of the command.
+    // Guards against a bundle that ends an operators' drain: 320 bundles are published a day, for example for
+    // an account change, from a source that doesn't know the command.
     drain_state state;
     cr_assert(state.operator_said(instant{}, {domain_a, 1, true}));
     state.bundle_adopted(instant{} + 1s, bundle_with(2, true));
@@ -148,15 +142,15 @@
     state.bundle_adopted(instant{} + 2s, bundle_with(3, false));
     state.bundle_adopted(instant{} + 3s, bundle_with(2, true));
     cr_assert(state.operator_said(instant{} + 4s, {domain_a, 2, false}));
-    cr_assert(!state.accepts_new_work(domain_a, host_1), "version 3 said out, and 2 is older");
+    cr_assert(!state.accepts_new_work(domain_a, host_1),
+              "version 3 drains the domain, and version 2 is older");
 }
 
 FAULT_CELL(drain_return, host_list_lags)
 {
-    // Without the guard requests would go to a host that is about to vanish.
-    // Order: the list says `leaving`, then a stale replica of it says `live`, then the sidecar crashes and
-    // starts again while the list says `leaving`; only a start after the last `leaving` brings the host back.
-    // Cause: the host list lags and is read from several replicas.
+    // Guards against new work for a host that is about to be removed. The list shows `leaving`, then a stale
+    // replica of it shows `live`; later the sidecar crashes and restarts while the list shows `leaving`. Only
+    // an incarnation later than the last `leaving` may return the host to service.
     drain_state state;
     state.process_heard(instant{}, host_1, incarnation(5), false);
     state.host_list_read(instant{} + 1s, {{host_1, true, ""}});
@@ -173,9 +167,8 @@
 
 FAULT_CELL(drain_return, paused_wakes_late)
 {
-    // Without the guard a stopping process would get new work from a gateway that slept.
-    // Order: the process says "leaving"; an "alive" of the same start, sent earlier, arrives after it.
-    // Cause: a paused process sends what it had ready when it wakes.
+    // Guards against new work for a stopping process: a paused process that resumes sends an older "alive" of
+    // the incarnation that has announced "leaving".
     drain_state state;
     state.process_heard(instant{}, host_1, incarnation(5), true);
     state.process_heard(instant{} + 1s, host_1, incarnation(5), false);
@@ -187,8 +180,8 @@
 
 FAULT_CELL(drain_leave, message_late)
 {
-    // A host that was replaced gets no work, though its new sidecar is well. The goodbye of the one before
-    // was long under way and arrives after the new one was heard. It is about a start that is over.
+    // Guards against a replaced host that gets no work: the delayed "leaving" of the former process arrives
+    // after the new process was seen, and must not apply to the new incarnation.
     drain_state state;
     state.process_heard(instant{}, host_1, incarnation(1), false);
     state.process_heard(instant{} + 1s, host_1, incarnation(2), false);
@@ -200,8 +193,8 @@
 
 FAULT_CELL(drain_leave, message_reordered)
 {
-    // Operators take a domain out, back, and out for good. The words arrive last one first: from the first
-    // that arrives on it gets no new work, and the older ones change nothing.
+    // Guards against reordered notices: of drain, return and drain the last arrives first. It must drain the
+    // domain at once, and the older ones must change nothing.
     drain_state state;
     for (const std::uint64_t number : {3U, 2U, 1U}) {
         const bool news = state.operator_said(instant{} + 1s, {domain_a, number, number != 2});
@@ -212,7 +205,7 @@
 
 FAULT_CELL(drain_leave, config_stale)
 {
-    // A bundle takes a domain out. A peer that lags hands over the one before it: work would go there again.
+    // Guards against an older bundle from a lagging peer that would return a drained domain to service.
     drain_state state;
     state.bundle_adopted(instant{}, bundle_with(7, true));
     state.bundle_adopted(instant{} + 1s, bundle_with(8, false));
@@ -223,9 +216,8 @@
 
 FAULT_CELL(drain_leave, two_faults)
 {
-    // A gateway dies and starts anew while a domain is out by the operators' word, and the host list it reads
-    // first still calls the domain's hosts live. The word comes from a peer; from then on the list can't undo
-    // it.
+    // Guards against losing an operators' drain in a gateway restart while the host list still shows the
+    // domain's hosts as live: the notice is received from a peer, and the list must not end the drain.
     drain_state peer;
     cr_assert(peer.operator_said(instant{}, {domain_a, 4, true}));
     drain_state restarted;
@@ -236,13 +228,14 @@
     restarted.host_list_read(instant{} + 3s, {{host_1, false, ""}});
     restarted.process_heard(instant{} + 3s, host_1, incarnation(9), false);
     cr_assert(!restarted.accepts_new_work(domain_a, host_1));
-    cr_assert(restarted.next_number(domain_a) == 5, "an operator's next word counts here as well");
+    cr_assert(restarted.next_number(domain_a) == 5,
+              "the next notice's number must follow the replicated one");
 }
 
 FAULT_CELL(drain_return, process_dies)
 {
-    // A sidecar starts anew just after its domain came back. One peer tells it of the return, and one that
-    // lags of the leaving. In either order it must take work, or the domain stays idle.
+    // Guards against an idle domain after a sidecar restart: one peer sends the return, a lagging one the
+    // older drain. In either order the domain must accept work.
     for (const bool stale_first : {true, false}) {
         drain_state restarted;
         const drain_notice out{domain_a, 1, true};
@@ -255,8 +248,8 @@
 
 FAULT_CELL(drain_return, message_lost)
 {
-    // The word that a domain is back gets lost on its way to one gateway, which would leave it idle for good.
-    // The word isn't told once: every process keeps it and tells it again when asked for what it knows.
+    // Guards against a lost return notice, which would leave the domain idle for good: every process keeps
+    // the notice and sends it again on request.
     drain_state informed;
     drain_state missed;
     for (auto* each : {&informed, &missed}) {
@@ -272,8 +265,8 @@
 
 FAULT_CELL(drain_return, message_doubled)
 {
-    // The word that a domain is back comes again and again, as every peer passes it on. It is news once:
-    // passed on each time, it would never stop going round.
+    // Guards against endless propagation of a return notice that every peer passes on: only its first arrival
+    // is new.
     drain_state state;
     cr_assert(state.operator_said(instant{}, {domain_a, 1, true}));
     cr_assert(state.operator_said(instant{} + 1s, {domain_a, 2, false}));
@@ -283,9 +276,9 @@
 
 FAULT_CELL(drain_return, config_down)
 {
-    // A domain went out by the operators' word and by a bundle; the configuration service is down when it is
-    // to come back. The operators' word takes back the operators' own; the bundle's stands until a newer one
-    // comes.
+    // Guards against a return that ends too much: a domain is drained by operators and by a bundle while the
+    // configuration service is down. The operators' return ends only their own drain; that of the bundle
+    // lasts until a newer bundle.
     drain_state state;
     state.bundle_adopted(instant{}, bundle_with(2, false));
     cr_assert(state.operator_said(instant{} + 1s, {domain_a, 1, true}));
@@ -297,8 +290,8 @@
 
 FAULT_CELL(drain_return, domain_out)
 {
-    // One domain comes back while another goes out. The word about the one must not carry the other with it,
-    // nor may a host that is itself leaving come back with its domain.
+    // Guards against mixing up subjects: the return of one domain must not affect the drain of another, nor
+    // that of a host which is itself leaving.
     drain_state state;
     const failure_domain_id domain_b("b");
     cr_assert(state.operator_said(instant{}, {domain_a, 1, true}));
@@ -312,8 +305,8 @@
 
 FAULT_CELL(drain_return, same_twice)
 {
-    // A domain goes out and comes back twice in a day. The second leaving must count although the domain's
-    // last word was a return, and the second return must not be taken for the first.
+    // Guards against ignoring a repeated drain or return: with two drains and two returns in a day, the
+    // second drain must count after a return, and the second return must not be taken for the first.
     drain_state state;
     for (std::uint64_t number = 1; number <= 4; ++number) {
         const bool out = number % 2 == 1;
--- a/tests/membership/datagram_test.cpp
+++ b/tests/membership/datagram_test.cpp
@@ -41,7 +41,7 @@
 
 } // namespace
 
-Test(datagram, reads_back_whatever_it_is_for)
+Test(datagram, every_type_survives_encoding_and_decoding)
 {
     const std::vector<datagram_body> bodies{ping_message{1},
                                             ack_message{2},
@@ -58,7 +58,7 @@
     }
 }
 
-Test(datagram, the_longest_names_stay_in_one_frame)
+Test(datagram, datagrams_with_the_longest_names_fit_one_frame)
 {
     membership_settings settings;
     settings.self = make_longest_info();
@@ -82,14 +82,14 @@
     }
 }
 
-Test(datagram, forged_and_changed_ones_are_refused_without_a_crash)
+Test(datagram, forged_and_corrupted_datagrams_are_rejected_without_a_crash)
 {
     const auto seal = datagram_seal::create({"0123456789abcdef"}).value();
     const auto other = datagram_seal::create({"fedcba9876543210"}).value();
     const auto both = datagram_seal::create({"fedcba9876543210", "0123456789abcdef"}).value();
     const auto bytes = encode_datagram(sample_datagram());
     cr_assert(seal.open(seal.seal(bytes)).value() == bytes);
-    cr_assert(both.open(seal.seal(bytes)).value() == bytes, "while the key is being changed");
+    cr_assert(both.open(seal.seal(bytes)).value() == bytes, "both keys must be accepted during key rotation");
     cr_assert(seal.open(other.seal(bytes)).has_error());
     cr_assert(datagram_seal::create({"short"}).has_error());
     random_source random(1);
@@ -110,7 +110,7 @@
     cr_assert(seal.open("").has_error());
 }
 
-Test(replay_window, takes_each_counter_once)
+Test(replay_window, accepts_each_counter_once)
 {
     replay_window window;
     cr_assert(window.accept(incarnation(1), 10));
@@ -118,7 +118,7 @@
     cr_assert(window.accept(incarnation(1), 8));
     cr_assert(!window.accept(incarnation(1), 8));
     cr_assert(window.accept(incarnation(1), 200));
-    cr_assert(!window.accept(incarnation(1), 100), "too old to tell");
+    cr_assert(!window.accept(incarnation(1), 100), "a counter older than the window must be rejected");
     cr_assert(window.accept(incarnation(2), 1));
-    cr_assert(!window.accept(incarnation(1), 300), "an earlier start");
+    cr_assert(!window.accept(incarnation(1), 300), "an earlier incarnation must be rejected");
 }
--- a/tests/membership/membership_fixture.h
+++ b/tests/membership/membership_fixture.h
@@ -10,7 +10,7 @@
 
 namespace dragonflymill::test {
 
-/// A datagram under way between two addresses.
+/// A datagram in flight between two addresses.
 struct member_message
 {
     std::size_t from = 0;
@@ -18,8 +18,8 @@
     datagram content;
 };
 
-/// A few memberships and a bag of datagrams. Process `i` has the address `i` and stands in failure domain
-/// `i mod 3`; those from `far_from` on stand in another region.
+/// Simulates a few memberships that exchange datagrams through a message bag. Process `i` has the address `i`
+/// and runs in failure domain `i mod 3`; those from `second_region_from` on run in another region.
 class membership_fixture
 {
 public:
@@ -43,7 +43,7 @@
 
     static auto name(std::size_t at) -> process_id { return process_id("p" + std::to_string(at)); }
 
-    /// Starts the process anew, with an empty memory and the given start number.
+    /// Restarts the process with empty state and the given incarnation number.
     void start(std::size_t at, std::uint64_t number)
     {
         membership_settings settings;
@@ -58,7 +58,7 @@
         down[at] = false;
     }
 
-    /// Lets time pass; `each_tick` runs after each step.
+    /// Advances time in ticks; `each_tick` runs after each one.
     template <typename Check>
     void run(duration time, Check each_tick)
     {
@@ -79,13 +79,13 @@
         run(time, [] {});
     }
 
-    /// What `at` believes about `about`; dead if it does not know it.
+    /// State of `about` as seen by `at`; dead if it is unknown there.
     [[nodiscard]] auto observed_state(std::size_t at, std::size_t about) const -> member_state
     {
         const auto* record = members[at]->table().find(name(about));
         return record == nullptr ? member_state::dead : record->update.state;
     }
-    /// Whether every running process other than `about` believes it to be in that state.
+    /// Whether every running process other than `about` sees it in that state.
     [[nodiscard]] auto all_observe(std::size_t about, member_state state) const -> bool
     {
         for (std::size_t at = 0; at < members.size(); ++at) {
@@ -95,7 +95,7 @@
         }
         return true;
     }
-    /// Whether every running process believes every running process to be alive.
+    /// Whether every running process sees every running process as alive.
     [[nodiscard]] auto all_observe_all_alive() const -> bool
     {
         for (std::size_t about = 0; about < members.size(); ++about) {
--- a/tests/membership/membership_schedule_test.cpp
+++ b/tests/membership/membership_schedule_test.cpp
@@ -13,8 +13,8 @@
 constexpr std::size_t size = 5;
 constexpr int steps = 25;
 
-// Draws pauses, restarts, stops and partitions, and checks that a leaving process is never believed alive
-// again for the same start, and that all find each other once the faults end.
+// Injects random pauses, restarts, stops and partitions. Checks that a leaving process is never seen alive
+// again in the same incarnation, and that all processes find each other once the faults end.
 class member_schedule
 {
 public:
@@ -35,7 +35,8 @@
         end_faults();
         world_.run(90s, [this] { check_leaving_is_final(); });
         if (!violation_ && !world_.all_observe_all_alive()) {
-            violation_ = "not all found each other after the faults ended:" + describe_mismatches();
+            violation_ =
+                "not all processes see each other alive after the faults ended:" + describe_mismatches();
         }
         return violation_;
     }
@@ -48,8 +49,8 @@
             for (std::size_t about = 0; about < size; ++about) {
                 const auto state = world_.observed_state(at, about);
                 if (at != about && state != member_state::alive) {
-                    text += " " + std::to_string(at) + " believes " + std::to_string(about) + " " +
-                            to_string(state);
+                    text +=
+                        " " + std::to_string(at) + " sees " + std::to_string(about) + " " + to_string(state);
                 }
             }
         }
@@ -115,8 +116,8 @@
                     leaving_start = start;
                 }
                 else if (leaving_start == start && leaving_start != incarnation()) {
-                    violation_ =
-                        std::to_string(at) + " took back that " + std::to_string(about) + " is leaving";
+                    violation_ = std::to_string(at) + " no longer considers " + std::to_string(about) +
+                                 " leaving within the same incarnation";
                 }
             }
         }
@@ -131,7 +132,7 @@
 
 } // namespace
 
-Test(membership_schedule, leaving_is_final_and_all_meet_again)
+Test(membership_schedule, leaving_is_final_and_members_converge_after_faults)
 {
     run_schedules(seeds, "test_membership", "membership_schedule/*",
                   [](std::uint64_t seed) { return member_schedule(seed).run(); });
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -7,13 +7,13 @@
 using namespace dragonflymill;
 using namespace dragonflymill::test;
 
-Test(membership, everyone_finds_everyone)
+Test(membership, all_members_discover_each_other)
 {
     membership_fixture world(12, 1);
     world.run(15s);
     cr_assert(world.all_observe_all_alive());
     const auto digest = world.members[0]->table().digest();
-    cr_assert(digest != world.members[1]->table().digest(), "each leaves itself out");
+    cr_assert(digest != world.members[1]->table().digest(), "a table must not contain its own process");
     cr_assert(world.members[0]->table().live_count() == 11);
 }
 
@@ -28,7 +28,7 @@
     cr_assert(log() == log());
 }
 
-Test(membership, updates_are_ordered_the_same_way_round)
+Test(membership, update_order_is_antisymmetric)
 {
     const std::vector<member_state> states{member_state::alive, member_state::suspect, member_state::dead,
                                            member_state::leaving};
@@ -50,7 +50,7 @@
     cr_assert(overrides({{}, member_state::alive, {incarnation(2), 0}}, leaving));
 }
 
-Test(membership, table_is_bounded_and_forgets)
+Test(membership, table_is_bounded_and_expires_dead_and_leaving_members)
 {
     member_table table(10, 1h);
     const auto update = [](int number, member_state state) {
@@ -61,16 +61,19 @@
     for (int number = 0; number < 10; ++number) {
         cr_assert(table.merge(instant{}, update(number, member_state::alive)));
     }
-    cr_assert(!table.merge(instant{}, update(10, member_state::alive)), "full of live members");
+    cr_assert(!table.merge(instant{}, update(10, member_state::alive)),
+              "a table full of live members must reject a new one");
     cr_assert(table.merge(instant{}, update(3, member_state::dead)));
-    cr_assert(table.merge(instant{}, update(10, member_state::alive)), "in place of the dead one");
-    cr_assert(!table.merge(instant{}, update(3, member_state::dead)), "unknown and dead is no news");
+    cr_assert(table.merge(instant{}, update(10, member_state::alive)),
+              "a new member must replace the dead one");
+    cr_assert(!table.merge(instant{}, update(3, member_state::dead)),
+              "an unknown dead member must be ignored");
     cr_assert(table.merge(instant{}, update(4, member_state::leaving)));
     table.forget(instant{} + 1h);
     cr_assert(table.records().size() == 9 && table.live_count() == 9);
 }
 
-Test(membership, datagrams_a_second_do_not_grow_with_the_fleet)
+Test(membership, datagram_rate_per_member_is_independent_of_fleet_size)
 {
     const auto each_second = [](std::size_t size) {
         membership_fixture world(size, 4);
@@ -83,7 +86,7 @@
     cr_assert(each_second(40) < 2.5);
 }
 
-Test(membership, peers_of_different_failure_domains_are_asked_first)
+Test(membership, asks_peers_of_different_failure_domains_first)
 {
     membership_fixture world(9, 19);
     world.run(15s);
@@ -96,9 +99,8 @@
 
 FAULT_CELL(member_probe, message_lost)
 {
-    // Operators see nobody declared dead on a network that loses one datagram in ten.
-    // Order: pings and answers are lost; others are asked to ping; what is still suspected denies it.
-    // Cause: a lossy link must not look like ten dead hosts.
+    // Guards against false deaths on a network that loses one datagram in ten: indirect probes and refutation
+    // must make up for lost pings and acknowledgements.
     membership_fixture world(10, 5, {.drop = 0.1});
     world.run(20s);
     world.run(300s);
@@ -108,9 +110,9 @@
 
 FAULT_CELL(member_probe, process_dies)
 {
-    // Gateways stop counting on a host that died, within seconds.
-    // Order: the process stops answering; a probe fails directly and through others; nobody denies the
-    // suspicion. Cause: ten hosts fail on an ordinary day.
+    // Guards against slow failure detection: a process whose host died must be declared dead within seconds,
+    // after a direct and an indirect probe failed and nobody refuted the suspicion. Ten hosts fail on an
+    // ordinary day.
     membership_fixture world(10, 6);
     world.run(15s);
     world.down[4] = true;
@@ -120,9 +122,8 @@
 
 FAULT_CELL(member_probe, partition_one_way)
 {
-    // Operators see nobody declared dead although two processes can't reach each other.
-    // Order: 1 pings 2 in vain, asks others to ping 2 for it, and gets the answer through them.
-    // Cause: one broken link between two hosts says nothing about either.
+    // Guards against a false death when only the link between processes 1 and 2 is broken: the indirect probe
+    // through other members must succeed.
     membership_fixture world(6, 7);
     world.run(15s);
     world.deaths = 0;
@@ -134,9 +135,8 @@
 
 FAULT_CELL(member_probe, message_doubled)
 {
-    // Nobody sees anything: a recorded datagram that is played back is dropped and counted.
-    // Order: one datagram arrives twice.
-    // Cause: the network doubles, or somebody replays what was sealed once.
+    // Guards against replayed datagrams, duplicated by the network or recorded by an attacker: the second
+    // arrival must be dropped and counted.
     membership_fixture world(2, 8);
     world.run(5s);
     const auto outputs = world.members[0]->tick(world.now + 1s);
@@ -149,10 +149,8 @@
 
 FAULT_CELL(member_suspect, paused_wakes_late)
 {
-    // Operators see no wave of deaths when a paused host wakes.
-    // Order: a process is paused for a minute, is declared dead, wakes, and every probe of its own is
-    // overdue. Cause: its own silence looks to it like everybody else's; it denies its death and judges
-    // nobody.
+    // Guards against mass deaths when a paused host resumes: after a minute all its own probes are overdue,
+    // and it has been declared dead. It must refute its death and declare nobody dead.
     membership_fixture world(10, 9);
     world.run(15s);
     world.paused[3] = true;
@@ -168,9 +166,9 @@
 
 FAULT_CELL(member_suspect, partition)
 {
-    // Operators see both halves come together by themselves after an hour apart.
-    // Order: a failure domain is cut off, each side declares the other dead; the way opens; each denies it.
-    // Cause: switches fail; dead members are still asked now and then, or nobody would ever speak again.
+    // Guards against a partition that never heals: a failure domain is cut off, each side declares the other
+    // dead. Dead members must still be probed at a low rate, so that both sides refute once the network is
+    // back.
     membership_fixture world(9, 10);
     world.run(15s);
     for (std::size_t at = 0; at < 9; at += 3) {
@@ -186,9 +184,8 @@
 
 FAULT_CELL_MORE(member_suspect, partition, alone)
 {
-    // Operators see one process cut off, not all the others dead, when its cable is pulled for a while.
-    // Order: it hears from nobody, and holds its verdicts until it does.
-    // Cause: who hears nobody is itself what is wrong.
+    // Guards against a process without a network connection that declares all others dead: while it receives
+    // nothing it must consider itself isolated and make no decisions.
     membership_fixture world(9, 11);
     world.run(15s);
     world.partition[5] = 1;
@@ -206,9 +203,8 @@
 
 FAULT_CELL_MORE(member_suspect, partition, regions)
 {
-    // Operators see no deaths when two regions lose each other for an hour.
-    // Order: probes between the regions fail; each region goes on judging its own.
-    // Cause: a broken line between regions says nothing about the processes behind it.
+    // Guards against deaths across regions when the link between them fails, which says nothing about the
+    // processes behind it: each region must decide about its own members only.
     membership_fixture world(10, 12, {}, 5);
     world.run(20s);
     cr_assert(world.all_observe_all_alive());
@@ -224,14 +220,14 @@
               world.observed_state(0, 7) == member_state::alive);
     world.partition.assign(10, 0);
     world.run(60s);
-    cr_assert(world.all_observe(7, member_state::dead), "the bridges bring what the other region knows");
+    cr_assert(world.all_observe(7, member_state::dead),
+              "the bridges must propagate the other region's updates");
 }
 
 FAULT_CELL(member_suspect, message_late)
 {
-    // Nobody sees a process die twice: a suspicion that was denied arrives again, late.
-    // Order: suspicion, denial, and the same suspicion five seconds later by another way.
-    // Cause: gossip has no order; the number of the denial decides.
+    // Guards against a refuted suspicion that arrives again, late, by another path: gossip isn't ordered, so
+    // the refutation number must decide.
     membership_fixture world(6, 13, {.late = 0.2});
     world.run(30s);
     world.deaths = 0;
@@ -242,9 +238,8 @@
 
 FAULT_CELL(member_rejoin, process_dies)
 {
-    // Operators see a replaced process back within seconds.
-    // Order: it dies, is declared dead, starts with a later number and joins by a seed.
-    // Cause: 390 restarts a day.
+    // Guards against slow rejoining: a process that was declared dead restarts with a later incarnation and
+    // joins through a seed; all must see it alive within seconds. There are 390 restarts a day.
     membership_fixture world(8, 14);
     world.run(15s);
     world.down[4] = true;
@@ -257,9 +252,9 @@
 
 FAULT_CELL(member_rejoin, clock_jump)
 {
-    // Operators see a restarted process taken up although its host's clock went back.
-    // Order: it starts with a lower number than before, hears of its own past and takes a higher one.
-    // Cause: the start number is civil time, which jumps.
+    // Guards against ignoring a restarted process whose host's clock went back: the incarnation is wall-clock
+    // time, so it starts with a lower number than before. It must learn this from gossip and take a higher
+    // number.
     membership_fixture world(6, 15);
     world.run(15s);
     world.start(3, 500);
@@ -271,9 +266,8 @@
 
 FAULT_CELL(member_rejoin, paused_wakes_late)
 {
-    // Operators see the old process stop when it wakes beside its successor; the successor is not disturbed.
-    // Order: a process is paused, a successor starts under its name, the old one wakes and speaks.
-    // Cause: the platform replaced a host that was only paused.
+    // Guards against two processes under one id after the platform replaced a host that was only paused: the
+    // old process must be superseded when it resumes, and the successor must not be affected.
     membership_fixture world(6, 16);
     world.run(40s);
     auto old_process = *world.members[3];
@@ -302,9 +296,8 @@
 
 FAULT_CELL(process_stop, message_reordered)
 {
-    // Callers see no request cut off: a process that stops gets no new work, whatever arrives late.
-    // Order: "leaving" spreads; an older "alive" and a suspicion of the same start arrive after it.
-    // Cause: gossip has no order; what a process says of its own end is final for this start.
+    // Guards against new work for a stopping process: an older "alive" and a suspicion of the same
+    // incarnation that arrive late must not override "leaving".
     membership_fixture world(6, 17, {.late = 0.3});
     world.run(30s);
     world.apply_outputs(2, world.members[2]->leave());
@@ -315,9 +308,8 @@
 
 FAULT_CELL(process_stop, message_lost)
 {
-    // Callers see no request cut off although the first words of the stop are lost.
-    // Order: half of all datagrams are lost; every later one repeats that the process is leaving.
-    // Cause: a word said once may not arrive.
+    // Guards against new work for a stopping process whose first announcements are lost: with half of all
+    // datagrams lost, every later datagram must repeat that it is leaving.
     membership_fixture world(6, 18, {.drop = 0.5});
     world.run(60s);
     world.apply_outputs(2, world.members[2]->leave());
@@ -329,19 +321,19 @@
 
 FAULT_CELL_MORE(bundle_spread, config_stale, peer_has_newer)
 {
-    // A sidecar goes on acting by a bundle that is no longer in force. Peers with the same bundle confirm it,
-    // from the moment they were asked; as soon as those that answer have a newer one nothing confirms it.
+    // Guards against using a bundle that is no longer in force: peers with the same bundle confirm it, as of
+    // the time of the probe; once the responding peers have a newer one, nothing may confirm it.
     membership_fixture world(2, 5);
     const auto word = [](std::uint64_t version) { return bundle_notice{bundle_version(version), {}}; };
     world.members[0]->set_word(word(3));
     world.run(10s);
-    cr_assert(!world.members[0]->bundle_confirmed(), "a peer without a bundle confirms none");
+    cr_assert(!world.members[0]->bundle_confirmed(), "a peer without a bundle must not confirm one");
     world.members[1]->set_word(word(3));
     world.run(10s);
     const auto confirmed = world.members[0]->bundle_confirmed();
     cr_assert(confirmed && *confirmed > world.now - 3s && *confirmed <= world.now);
     world.members[1]->set_word(word(4));
-    world.run(1s); // for what is on its way
+    world.run(1s); // lets datagrams in flight arrive
     const auto last = world.members[0]->bundle_confirmed();
     world.run(10s);
     cr_assert(world.members[0]->bundle_confirmed() == last);
--- a/tests/route/prefix_map_test.cpp
+++ b/tests/route/prefix_map_test.cpp
@@ -18,7 +18,7 @@
     return blocks;
 }
 
-/// Likely cached tokens of the prompt at the first upstream that has any.
+/// Likely cached tokens of the prompt at the first matching upstream; 0 if none matches.
 auto cached(const prefix_map& map, const std::vector<block_hash>& blocks) -> token_count
 {
     std::vector<prefix_match> matches;
@@ -28,7 +28,7 @@
 
 } // namespace
 
-Test(prompt_blocks, equal_beginnings_have_equal_hashes_and_others_have_not)
+Test(prompt_blocks, equal_prefixes_have_equal_hashes)
 {
     const auto a = prompt_blocks("aaaabbbbcccc", 4);
     const auto b = prompt_blocks("aaaabbbbdddd!", 4);
@@ -36,11 +36,11 @@
     cr_assert(b.size() == 3);
     cr_assert(a[1] == b[1]);
     cr_assert(a[2] != b[2]);
-    cr_assert(prompt_blocks("bbbbaaaa", 4)[1] != a[1], "a block stands for everything before it");
+    cr_assert(prompt_blocks("bbbbaaaa", 4)[1] != a[1], "a block hash must include all blocks before it");
     cr_assert(prompt_blocks(std::string(10'000, 'x'), 4).size() == max_prompt_blocks);
 }
 
-Test(prefix_map, finds_the_longest_prefix_of_each_holder)
+Test(prefix_map, finds_the_longest_cached_prefix_of_each_upstream)
 {
     prefix_map map;
     map.sent(u0, blocks_from(1, 4));
@@ -51,16 +51,16 @@
     cr_assert(matches[0].tokens == 4 * block_tokens);
     cr_assert(matches[1].tokens == 2 * block_tokens);
     map.lookup(blocks_from(2, 6), matches);
-    cr_assert(matches.size() == 2, "a block hash stands for its whole prefix");
+    cr_assert(matches.size() == 2, "a block hash must identify its whole prefix");
 }
 
-Test(prefix_map, stays_in_its_bound_and_drops_what_was_used_longest_ago)
+Test(prefix_map, is_bounded_and_evicts_the_least_recently_used_blocks)
 {
     prefix_map map(100);
     map.sent(u0, blocks_from(1, 10));
     for (block_hash i = 1; i < 50; ++i) {
         map.sent(u0, blocks_from(i * 1'000, 10));
-        map.sent(u0, blocks_from(1, 10)); // used again and again
+        map.sent(u0, blocks_from(1, 10)); // keeps these blocks recently used
     }
     cr_assert(map.size() == 100);
     cr_assert(cached(map, blocks_from(1, 10)) == 10 * block_tokens);
@@ -69,9 +69,9 @@
 
 FAULT_CELL_MORE(request_route, message_lost, cache_event)
 {
-    // A caller's long prompt is sent to an engine that dropped its prefix long ago. The engine's event of it
-    // is lost, and later ones come. Cause: a gap in the events; from then on they are trusted less, never
-    // more.
+    // Guards against routing a long prompt to an engine that evicted its prefix, after the eviction event was
+    // lost. A gap in the event sequence must lower the trust in the engine's entries, and a second gap must
+    // lower it further.
     prefix_map map;
     map.sent(u0, blocks_from(1, 10));
     map.event(u0, {1, cache_event_kind::stored, {}});
@@ -85,9 +85,8 @@
 
 FAULT_CELL_MORE(request_route, message_reordered, cache_event)
 {
-    // A caller waits for a prefill that the gateway took for cached. "Stored" overtakes nothing, but
-    // "evicted" comes first and the older "stored" after it, and once more. Cause: events out of order and
-    // doubled.
+    // Guards against treating an evicted prefix as cached when events are reordered and duplicated: "evicted"
+    // arrives before the older "stored", and arrives once more.
     prefix_map map;
     map.event(u0, {1, cache_event_kind::stored, blocks_from(50, 1)});
     map.event(u0, {3, cache_event_kind::evicted, blocks_from(1, 10)});
@@ -101,8 +100,8 @@
 
 FAULT_CELL_MORE(request_route, process_dies, cache)
 {
-    // Prompts follow a cache that is no more: the engine died and came back empty. Cause: what was learned of
-    // its former start is kept.
+    // Guards against routing to a cache that was lost when its engine died and restarted empty: the entries
+    // of the earlier incarnation must be removed.
     prefix_map map;
     map.sent(u0, blocks_from(1, 10));
     map.sent(u1, blocks_from(1, 5));
--- a/tests/route/route_fixture.h
+++ b/tests/route/route_fixture.h
@@ -25,7 +25,7 @@
     return upstreams;
 }
 
-/// A table of `count` upstreams.
+/// Upstream table with `count` upstreams.
 inline auto make_table(std::size_t count) -> upstream_table
 {
     upstream_table table;
@@ -33,7 +33,7 @@
     return table;
 }
 
-/// A request of the model m.
+/// Request for the model m with `prompt` prompt tokens.
 inline auto make_request(const std::string& name, token_count prompt) -> route_request
 {
     route_request request;
@@ -44,7 +44,7 @@
     return request;
 }
 
-/// A load word with so much queued prefill of one class, measured `age` before it comes.
+/// Load report with `tokens` of queued prefill of one class, measured `age` before it is received.
 inline auto queued_load(length_class size, token_count tokens, duration age = duration::zero())
     -> upstream_load
 {
@@ -55,7 +55,7 @@
     return load;
 }
 
-/// The moment `after` the start of a test.
+/// Time `after` the start of a test.
 inline auto at(duration after) -> instant
 {
     return instant(after + std::chrono::seconds(100));
--- a/tests/route/routing_policy_test.cpp
+++ b/tests/route/routing_policy_test.cpp
@@ -24,7 +24,7 @@
     return std::get<route_choice>(decision);
 }
 
-/// A router over `count` idle upstreams that all reported at the start.
+/// Router over `count` idle upstreams that have all reported their load at the start.
 template <typename Policy>
 auto idle_router(Policy policy, std::size_t count) -> router<Policy>
 {
@@ -36,7 +36,7 @@
     return router_under_test;
 }
 
-/// What a router chooses for a hundred requests sent one after the other.
+/// Choices of a router for 100 requests that are sent one after the other.
 template <typename Policy>
 auto choose_for_100_requests(Policy policy) -> std::vector<route_choice>
 {
@@ -62,7 +62,7 @@
               choose_for_100_requests(predicted_first_token()));
 }
 
-Test(predicted_first_token, avoids_queues_of_its_own_class_and_of_shorter_ones_only)
+Test(predicted_first_token, considers_queues_of_the_same_and_shorter_classes_only)
 {
     auto router_under_test = idle_router(predicted_first_token(), 2);
     router_under_test.report(at(1ms), upstream_id("u00"), queued_load(length_class::interactive, 8'000));
@@ -74,7 +74,7 @@
               upstream_id("u00"));
 }
 
-Test(predicted_first_token, goes_where_the_prompt_is_cached_unless_the_queue_there_costs_more)
+Test(predicted_first_token, prefers_a_cached_prefix_unless_its_queue_costs_more)
 {
     auto router_under_test = idle_router(predicted_first_token(), 4);
     route_request request = make_request("r", 20'000);
@@ -89,7 +89,7 @@
     cr_assert(chosen(router_under_test.choose(at(3ms), request)).upstream != upstream_id("u02"));
 }
 
-Test(predicted_first_token, gateways_agree_on_a_prompts_home_without_a_message_and_leave_it_when_loaded)
+Test(predicted_first_token, gateways_agree_on_the_preferred_upstream_and_avoid_it_when_overloaded)
 {
     route_request request = make_request("r", 2'000);
     request.blocks = {11, 12, 13, 14, 15};
@@ -105,7 +105,7 @@
     cr_assert(next.reason == route_reason::left_home);
 }
 
-Test(predicted_first_token, keeps_longer_prompts_off_the_reserved_upstreams_unless_that_saves_much)
+Test(predicted_first_token, long_prompts_use_reserved_upstreams_only_for_large_savings)
 {
     auto upstreams = make_upstreams(8);
     reserve_for_short(0.25, upstreams);
@@ -114,8 +114,8 @@
         for (const bool saves_much : {false, true}) {
             router<predicted_first_token> router_under_test{predicted_first_token()};
             cr_assert(router_under_test.table().configure(upstreams).has_value());
-            // A third of the queue's time is decode steps, so the two sides are well below and above 12
-            // prefills.
+            // A third of the queueing time is decode steps, so the two cases are clearly below and above the
+            // reserved_weight of 12 prefill times.
             const double wait = prefill * (saves_much ? 16.0 : 6.0);
             const auto queue = static_cast<token_count>(wait * upstreams.front().prefill_rate);
             for (const auto& each : upstreams) {
@@ -131,23 +131,23 @@
 
 FAULT_CELL_MORE(request_route, partition, herd)
 {
-    // First tokens are late in waves: an engine is flooded, then idle. Many gateways hold the same old load
-    // words and all choose the same least loaded engine. Cause: no newer words come; equal choices must be
-    // spread.
+    // Guards against herding: many gateways with the same stale load reports, because newer ones don't
+    // arrive, would all choose the same least loaded engine and flood it. Equal costs must be spread over
+    // several engines.
     std::set<upstream_id> used;
     auto router_under_test = idle_router(predicted_first_token(), 8);
     for (int i = 0; i < 64; ++i) {
         used.insert(
             chosen(router_under_test.choose(at(1ms), make_request("r" + std::to_string(i), 1'000))).upstream);
     }
-    cr_assert(used.size() >= 3, "the own domain's engines at least");
+    cr_assert(used.size() >= 3,
+              "requests must be spread over at least the engines of the gateway's own domain");
 }
 
 FAULT_CELL_MORE(request_route, domain_out, every_policy)
 {
-    // A member's dossier is cut off because one policy of several still sends to a failure domain that was
-    // taken out. The domain is taken out, then each policy chooses a hundred times. Cause: a policy with its
-    // own list.
+    // Guards against a policy that ignores a drained failure domain because it keeps its own list of
+    // upstreams. Every policy makes 100 choices after the drain.
     const auto check_avoids_domain_a = [](auto policy) {
         auto router_under_test = idle_router(std::move(policy), 6);
         router_under_test.table().set_drained(failure_domain_id("a"), true);
@@ -166,8 +166,8 @@
 
 FAULT_CELL_MORE(request_route, upstream_cold, all_full)
 {
-    // A caller is refused with "no route" and never comes back, while the only engines are warming up. All
-    // ramps are full. Cause: the refusal must name the passing reason and a time to come back.
+    // Guards against a final refusal ("no route") while the only engines are warming up with full ramps: the
+    // refusal must name the temporary reason and a retry delay.
     auto router_under_test = idle_router(predicted_first_token(), 2);
     for (const char* name : {"u00", "u01"}) {
         upstream_load cold = queued_load(length_class::interactive, 0);
@@ -185,8 +185,8 @@
 
 FAULT_CELL_MORE(request_route, two_faults, restart)
 {
-    // A prompt follows a cache that died with its engine: the engine restarts and its cache events are lost
-    // too. Cause: the load word of the new start must empty what the gateway remembers.
+    // Guards against routing to a cache lost in an engine restart whose cache events were lost too: a load
+    // report of the new incarnation must clear the prefix map's entries.
     auto router_under_test = idle_router(predicted_first_token(), 3);
     route_request request = make_request("r", 2'000);
     request.blocks = {1, 2, 3, 4, 5, 6, 7};
--- a/tests/route/subset_test.cpp
+++ b/tests/route/subset_test.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-Test(subset, is_bounded_spread_over_domains_and_the_same_each_time)
+Test(subset, is_bounded_deterministic_and_spread_over_domains)
 {
     const auto all = make_upstreams(600);
     const auto subset = choose_subset(settings_of(1, 16), all);
@@ -43,7 +43,7 @@
     }
 }
 
-Test(subset, every_upstream_is_tracked_by_some_gateway_of_many)
+Test(subset, every_upstream_is_tracked_by_at_least_one_gateway)
 {
     const auto all = make_upstreams(600);
     std::map<std::string, int> trackers;
@@ -55,7 +55,7 @@
     cr_assert(trackers.size() == 600);
 }
 
-Test(subset, takes_the_own_region_first)
+Test(subset, prefers_the_gateways_own_region)
 {
     auto all = make_upstreams(12);
     for (std::size_t i = 0; i < 8; ++i) {
@@ -70,8 +70,8 @@
 
 FAULT_CELL(request_route, config_stale)
 {
-    // Each change of configuration empties the caches that a gateway's callers rely on. One upstream leaves
-    // the bundle. Cause: the subset is dealt anew; only the place of the one that left may change.
+    // Guards against losing prefix cache locality on every configuration change: when one upstream leaves the
+    // bundle, at most its own entry in the subset may change.
     const auto all = make_upstreams(100);
     for (std::size_t gone = 0; gone < all.size(); ++gone) {
         auto fewer = all;
@@ -85,14 +85,15 @@
     }
 }
 
-Test(length_lanes, reserve_a_share_in_each_domain_and_never_all)
+Test(length_lanes, reserves_a_share_in_each_domain_but_never_all_upstreams)
 {
     auto all = make_upstreams(12);
     reserve_for_short(0.25, all);
     std::set<failure_domain_id> domains;
     for (const auto& each : all) {
         if (!each.takes_bulk) {
-            cr_assert(domains.insert(each.failure_domain).second, "one of each domain");
+            cr_assert(domains.insert(each.failure_domain).second,
+                      "at most one reserved upstream per failure domain");
         }
     }
     cr_assert(domains.size() == 3);
--- a/tests/route/upstream_table_test.cpp
+++ b/tests/route/upstream_table_test.cpp
@@ -35,7 +35,7 @@
 
 } // namespace
 
-Test(upstream_table, refuses_more_than_its_bound_and_doubled_names)
+Test(upstream_table, rejects_too_many_upstreams_and_duplicate_ids)
 {
     upstream_table table({2, 500ms, 4});
     cr_assert(table.configure(make_upstreams(3)).error().kind() == error_kind::limit_reached);
@@ -45,7 +45,7 @@
     cr_assert(table.records().empty());
 }
 
-Test(upstream_table, offers_only_what_serves_model_and_adapter_and_is_large_enough)
+Test(upstream_table, offers_only_upstreams_with_the_model_the_adapter_and_enough_memory)
 {
     auto upstreams = make_upstreams(3);
     upstreams[1].models = {model_id("other")};
@@ -62,7 +62,7 @@
     cr_assert(obstacle(table, request) == refusal_code::no_route);
 }
 
-Test(upstream_table, keeps_what_it_knows_over_a_new_configuration)
+Test(upstream_table, keeps_load_reports_across_a_new_configuration)
 {
     upstream_table table = make_table(2);
     table.report(at(0s), u1, queued_load(length_class::interactive, 7));
@@ -71,7 +71,7 @@
     cr_assert(table.records().size() == 3);
 }
 
-Test(upstream_table, asks_for_old_load_words_oldest_first_and_not_twice)
+Test(upstream_table, probes_stale_upstreams_once_oldest_first)
 {
     upstream_table table({8, 500ms, 1});
     cr_assert(table.configure(make_upstreams(2)).has_value());
@@ -82,7 +82,7 @@
     cr_assert(table.probes_due(at(1'700ms)).empty());
 }
 
-Test(upstream_record, own_work_is_bounded_and_ended_work_makes_room)
+Test(upstream_record, own_attempts_are_bounded_and_finished_ones_free_capacity)
 {
     upstream_record record(make_upstreams(1).front());
     for (std::size_t i = 0; i < upstream_record::max_in_flight; ++i) {
@@ -94,14 +94,14 @@
     cr_assert(record.own_in_flight() == static_cast<std::int64_t>(upstream_record::max_in_flight));
 }
 
-Test(upstream_record, work_that_waits_holds_no_memory_and_work_that_decodes_does)
+Test(upstream_record, only_decoding_requests_hold_memory)
 {
     upstream_record record(make_upstreams(1).front());
     const dispatched_work large{request_id("r"), attempt_number(1), length_class::bulk,
                                 400'000,         400'000,           10s};
     cr_assert(record.sent(at(0s), large));
     cr_assert(record.memory_free() == 500'000,
-              "else short requests would avoid an engine that has room for them");
+              "queued work must not reduce the free memory, or short requests would avoid this engine");
     record.first_token(at(1s), large.request, large.attempt);
     cr_assert(record.memory_free() == 100'000);
     record.finished(at(2s), large.request, large.attempt);
@@ -110,24 +110,25 @@
 
 FAULT_CELL(request_route, message_late)
 {
-    // A caller's short question waits behind work that its gateway itself sent a moment ago. The gateway
-    // sends a long prefill, then an older load word comes in that can't know of it. Cause: load words lag.
+    // Guards against ignoring a prefill that this gateway sent after a load report was measured: a report
+    // with a lag can't include it, so own work must be added until a later report covers it.
     upstream_table table = make_table(1);
     table.report(at(0s), u0, queued_load(length_class::interactive, 1'000));
     cr_assert(table.sent(at(100ms), u0, make_work("r", 3'000)));
     table.report(at(200ms), u0, queued_load(length_class::interactive, 1'000, 150ms));
     cr_assert(table.find(u0)->queued(length_class::interactive) == 4'000);
     table.report(at(300ms), u0, queued_load(length_class::interactive, 3'500, 50ms));
-    cr_assert(table.find(u0)->queued(length_class::interactive) == 3'500, "now the word covers it");
+    cr_assert(table.find(u0)->queued(length_class::interactive) == 3'500,
+              "the newer report must cover the own work");
     table.first_token(at(400ms), u0, request_id("r"), attempt_number(1));
-    cr_assert(table.find(u0)->queued(length_class::interactive) == 500, "done after the word was measured");
+    cr_assert(table.find(u0)->queued(length_class::interactive) == 500,
+              "prefill that finished after the measurement must be subtracted");
 }
 
 FAULT_CELL(request_route, message_doubled)
 {
-    // A caller waits at a busy engine that its gateway takes for idle. The load word of an idle moment is
-    // delivered twice, the second time after the word of the busy moment. Cause: the network doubles and
-    // delays.
+    // Guards against an idle report that the network duplicates and delivers again after a newer busy report:
+    // it must not make the engine look idle.
     upstream_table table = make_table(1);
     table.report(at(0s), u0, queued_load(length_class::interactive, 0));
     table.report(at(100ms), u0, queued_load(length_class::interactive, 9'000));
@@ -137,8 +138,8 @@
 
 FAULT_CELL(request_route, message_lost)
 {
-    // Every caller of a gateway is sent to the one engine whose word of being idle came last, and no newer
-    // one comes through. Own work in flight must count by itself. Cause: load words are lost.
+    // Guards against sending all requests to one engine whose last received report was idle, while newer
+    // reports are lost: own work in flight must count by itself.
     upstream_table table = make_table(1);
     table.report(at(0s), u0, queued_load(length_class::interactive, 0));
     for (int i = 0; i < 10; ++i) {
@@ -149,9 +150,8 @@
 
 FAULT_CELL(request_route, domain_out)
 {
-    // A household's request is cut off in a failure domain that operators took out a minute before. The word
-    // comes, then the bundle changes, then the domain's engines report that they are idle. Cause: one of
-    // these undoes the word.
+    // Guards against new work in a drained failure domain after a new configuration and idle load reports of
+    // its engines: neither may end the drain.
     upstream_table table = make_table(4);
     table.set_drained(failure_domain_id("a"), true);
     cr_assert(candidate_names(table, make_request("r", 10)) == std::vector<std::string>({"u01", "u02"}));
@@ -165,8 +165,8 @@
 
 FAULT_CELL(drain_leave, domain_out)
 {
-    // A caller is told "no route" while all engines are only taken out for a while, and gives up for good.
-    // All failure domains are taken out one after the other. Cause: the refusal names the wrong reason.
+    // Guards against a final refusal ("no route") while all failure domains are only drained: the refusal
+    // must name the drain.
     upstream_table table = make_table(3);
     for (const char* domain : {"a", "b", "c"}) {
         table.set_drained(failure_domain_id(domain), true);
@@ -176,8 +176,8 @@
 
 FAULT_CELL(drain_leave, host_list_lags)
 {
-    // A request is sent to an engine that is leaving: its sidecar said so, the host list does not yet. Cause:
-    // the host list lags behind; the first word of leaving has to count, and membership's word too.
+    // Guards against new work for a leaving engine while the host list lags: the `draining` flag of its
+    // sidecar and the membership state must each stop it.
     upstream_table table = make_table(2);
     upstream_load leaving = queued_load(length_class::interactive, 0);
     leaving.draining = true;
@@ -189,9 +189,8 @@
 
 FAULT_CELL(drain_return, message_late)
 {
-    // An engine that came back gets no work, or one that was taken out by name is used because its domain is
-    // back. Engine and domain are taken out, and only the domain is brought back. Cause: the two words are
-    // mixed up.
+    // Guards against mixing up the drain of an upstream and that of its failure domain: ending the one must
+    // not end the other, and ending both must return the upstream to service.
     upstream_table table = make_table(3);
     table.set_drained(u0, true);
     table.set_drained(failure_domain_id("a"), true);
@@ -203,23 +202,22 @@
 
 FAULT_CELL(request_route, process_dies)
 {
-    // Requests fail one after the other at an engine that has died. Membership calls it suspect, then dead.
-    // Cause: a suspect is chosen while healthy ones are there, or a dead one at all.
+    // Guards against choosing a suspect engine while an alive one is eligible, and against choosing a dead
+    // one at all.
     upstream_table table = make_table(2);
     table.set_state(u0, upstream_state::suspect);
     cr_assert(candidate_names(table, make_request("r", 10)) == std::vector<std::string>({"u01"}));
     table.set_state(u1, upstream_state::dead);
     cr_assert(candidate_names(table, make_request("r", 10)) == std::vector<std::string>{"u00"},
-              "a suspect is better than none");
+              "a suspect must be used if nothing else is left");
     table.set_state(u0, upstream_state::dead);
     cr_assert(obstacle(table, make_request("r", 10)) == refusal_code::upstream_gone);
 }
 
 FAULT_CELL(request_route, upstream_cold)
 {
-    // An engine that just started falls over. Its ramp allows 2,000 tokens, 1,500 are granted, and a gateway
-    // sends two more requests before the next load word. Cause: the gateway does not count what it sent since
-    // the word.
+    // Guards against overloading a cold engine: its ramp allows 2,000 tokens, 1,500 are admitted, and the
+    // gateway sends two more requests before the next load report. Work sent since that report must count.
     upstream_table table = make_table(1);
     upstream_load cold = queued_load(length_class::interactive, 0);
     cold.cold = true;
@@ -233,8 +231,8 @@
 
 FAULT_CELL(request_route, same_twice)
 {
-    // After an engine restarted twice its gateway still counts the work of the first start, and never sends
-    // there again. Cause: own work in flight outlives the engine that held it.
+    // Guards against counting own work of an earlier incarnation after the engine restarted, which would keep
+    // the gateway from ever using it again.
     upstream_table table = make_table(1);
     upstream_load load = queued_load(length_class::interactive, 0);
     for (std::uint64_t start = 2; start < 4; ++start) {
@@ -242,15 +240,16 @@
         load.start = incarnation(start);
         table.report(at(1s * start + 1ms), u0, load);
     }
-    table.report(at(9s), u0, queued_load(length_class::interactive, 5)); // of the first start, late
+    table.report(at(9s), u0,
+                 queued_load(length_class::interactive, 5)); // a late report of the first incarnation
     cr_assert(table.find(u0)->queued(length_class::interactive) == 0);
     cr_assert(table.find(u0)->own_in_flight() == 0);
 }
 
 FAULT_CELL(request_route, paused_wakes_late)
 {
-    // Short questions wait at an engine whose reports say idle while its first tokens take ten times as long
-    // as predicted. Cause: a paused or lying reporter; the gateway's own observation has to count.
+    // Guards against trusting a paused or wrong reporter that states an idle engine while its first tokens
+    // take ten times as long as predicted: the observed times must count.
     upstream_table table = make_table(1);
     for (int i = 0; i < 30; ++i) {
         const instant start = at(1s * i);
