--- a/include/dragonflymill/membership/membership.h
+++ b/include/dragonflymill/membership/membership.h
@@ -93,9 +93,9 @@
 /// indirectly through other members, piggybacks what it learned on its datagrams, and refutes false
 /// suspicions of itself.
 ///
-/// A process suspects members of its own region only; a few members of each region,
-/// selected by rendezvous hash without an election, probe the other regions. Every container is bounded, and
-/// a token bucket limits the bytes sent.
+/// A process suspects members of its own region only; a few members of each region, selected by rendezvous
+/// hash without an election, probe the other regions. Every container is bounded, and a token bucket limits
+/// the bytes sent.
 class membership
 {
 public:
