--- a/src/membership/datagram_seal.cpp
+++ b/src/membership/datagram_seal.cpp
@@ -11,8 +11,8 @@
 
 constexpr std::size_t max_keys = 2;
 
-// The first half of an HMAC-SHA256 is as good as the whole where each guess costs a datagram.
-auto tag(const std::string& key, std::string_view content) -> std::string
+// HMAC-SHA256 truncated to 16 bytes: sufficient, since each forgery attempt costs a datagram.
+auto compute_mac(const std::string& key, std::string_view content) -> std::string
 {
     std::string full(EVP_MAX_MD_SIZE, '\0');
     unsigned int size = 0;
@@ -30,15 +30,16 @@
     const bool long_enough =
         std::all_of(keys.begin(), keys.end(), [](const auto& key) { return key.size() >= min_key_bytes; });
     if (keys.empty() || keys.size() > max_keys || !long_enough) {
-        return error(error_kind::invalid_input, "the membership key is missing or too short",
-                     "set one key of at least 16 bytes, or two while it is being changed");
+        return error(error_kind::invalid_input,
+                     "invalid membership keys: one or two keys of at least 16 bytes are required",
+                     "set one key of at least 16 bytes, or two during key rotation");
     }
     return datagram_seal(std::move(keys));
 }
 
 auto datagram_seal::seal(std::string_view content) const -> std::string
 {
-    return tag(keys_.front(), content) + std::string(content);
+    return compute_mac(keys_.front(), content) + std::string(content);
 }
 
 auto datagram_seal::open(std::string_view sealed) const -> result<std::string_view>
@@ -46,7 +47,7 @@
     if (sealed.size() > size) {
         const auto content = sealed.substr(size);
         for (const auto& key : keys_) {
-            if (CRYPTO_memcmp(tag(key, content).data(), sealed.data(), size) == 0) {
+            if (CRYPTO_memcmp(compute_mac(key, content).data(), sealed.data(), size) == 0) {
                 return content;
             }
         }
--- a/src/route/upstream_record.cpp
+++ b/src/route/upstream_record.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr double slowness_weight = 0.1;
-constexpr double least_slowness = 0.5;
-constexpr double most_slowness = 8.0;
-constexpr duration shortest_prediction{1'000};
+constexpr double slowness_smoothing = 0.1;
+constexpr double min_slowness = 0.5;
+constexpr double max_slowness = 8.0;
+constexpr duration min_prediction{1'000};
 
 template <typename Id>
 auto contains(const std::vector<Id>& sorted, const Id& id) -> bool
@@ -38,9 +38,8 @@
 
 auto upstream_record::takes_new_work() const -> bool
 {
-    // Guards against work sent into a failure domain that operators have taken out, or to a host that leaves:
-    // it would be cut off there. It holds because every policy draws its candidates through this one
-    // question.
+    // Guards against work sent to a drained failure domain or a leaving host, where it would be cut off.
+    // Every policy gets its candidates through this check.
     if (guard_holds(guard::drain) && (drained() || state_ == upstream_state::leaving)) {
         return false;
     }
@@ -57,7 +56,8 @@
 {
     const auto i = index_of(size);
     const token_count corrected = load_.queued_prefill[i] - own_done_since_[i] + own_unreported_[i];
-    // A word that lags, repeats or lies can't hide what this gateway itself is waiting for.
+    // The gateway's own waiting work is a lower bound, whatever a late, duplicated or wrong load report
+    // states.
     return std::max(corrected, own_waiting_[i]);
 }
 
@@ -80,7 +80,8 @@
     if (description_.memory == 0) {
         return std::numeric_limits<token_count>::max();
     }
-    // What waits holds no memory yet: it must not make an engine look full to requests that go before it.
+    // Queued work holds no KV cache yet; if it counted, an engine would look full to requests scheduled
+    // before it.
     const token_count used = std::max(load_.memory_used, own_context_);
     return std::max<token_count>(0, description_.memory - used);
 }
@@ -94,17 +95,17 @@
     for (const auto tokens : own_unreported_) {
         unreported += tokens;
     }
-    const token_count taken = load_.outstanding + unreported;
-    return taken > 0 && taken + cost > load_.allowed;
+    const token_count committed = load_.outstanding + unreported;
+    return committed > 0 && committed + cost > load_.allowed;
 }
 
 void upstream_record::report(instant now, const upstream_load& load)
 {
     const instant measured = now - load.age;
     const bool restarted = has_load_ && load.start > load_.start;
-    const bool outdated = has_load_ && (load.start < load_.start || (!restarted && measured < measured_at_));
-    if (outdated) {
-        return; // late, doubled or overtaken on its way: it would undo a newer word
+    const bool is_stale = has_load_ && (load.start < load_.start || (!restarted && measured < measured_at_));
+    if (is_stale) {
+        return; // late, duplicated or reordered: it would overwrite a newer report
     }
     if (restarted) {
         own_.clear();
@@ -141,11 +142,11 @@
     note_prefilled(now, *own);
     ++own_decoding_;
     own_context_ += own->work.context;
-    const auto predicted = std::max(own->work.predicted_first_token, shortest_prediction);
+    const auto predicted = std::max(own->work.predicted_first_token, min_prediction);
     const double ratio =
         static_cast<double>((now - own->sent_at).count()) / static_cast<double>(predicted.count());
     double& slowness = slowness_[index_of(own->work.size)];
-    slowness += slowness_weight * (std::clamp(ratio, least_slowness, most_slowness) - slowness);
+    slowness += slowness_smoothing * (std::clamp(ratio, min_slowness, max_slowness) - slowness);
 }
 
 void upstream_record::finished(instant now, const request_id& request, attempt_number attempt)
--- a/tests/route/route_fixture.h
+++ b/tests/route/route_fixture.h
@@ -9,7 +9,7 @@
 namespace dragonflymill::test {
 
 /// Upstreams u00, u01, ... in the failure domains a, b and c in turn, all serving the model m.
-inline auto some_upstreams(std::size_t count) -> std::vector<upstream_description>
+inline auto make_upstreams(std::size_t count) -> std::vector<upstream_description>
 {
     std::vector<upstream_description> upstreams;
     upstreams.reserve(count);
@@ -25,16 +25,16 @@
     return upstreams;
 }
 
-/// A table of `count` upstreams.
-inline auto some_table(std::size_t count) -> upstream_table
+/// Upstream table with `count` upstreams.
+inline auto make_table(std::size_t count) -> upstream_table
 {
     upstream_table table;
-    (void)table.configure(some_upstreams(count)).has_value();
+    (void)table.configure(make_upstreams(count)).has_value();
     return table;
 }
 
-/// A request of the model m.
-inline auto some_request(const std::string& name, token_count prompt) -> route_request
+/// Request for the model m with `prompt` prompt tokens.
+inline auto make_request(const std::string& name, token_count prompt) -> route_request
 {
     route_request request;
     request.id = request_id(name);
@@ -44,7 +44,7 @@
     return request;
 }
 
-/// A load word with so much queued prefill of one class, measured `age` before it comes.
+/// Load report with `tokens` of queued prefill of one class, measured `age` before it is received.
 inline auto queued_load(length_class size, token_count tokens, duration age = duration::zero())
     -> upstream_load
 {
@@ -55,7 +55,7 @@
     return load;
 }
 
-/// The moment `after` the start of a test.
+/// Time `after` the start of a test.
 inline auto at(duration after) -> instant
 {
     return instant(after + std::chrono::seconds(100));
