--- a/src/gateway/attempt_call.cpp
+++ b/src/gateway/attempt_call.cpp
@@ -9,35 +9,36 @@
 
 namespace {
 
-constexpr std::size_t piece_bytes = 256 * 1024;
+constexpr std::size_t prompt_chunk_bytes = 256 * 1024;
 /// The sidecar enforces the time limit itself; the transport's deadline only ends calls of which no word
 /// comes.
 constexpr duration deadline_slack = 2s;
 
 } // namespace
 
-auto attempt_call::open(wire::sidecar_gate::Stub& stub, const identity& who, content what, pulse_ptr pulse,
-                        link_sink sink, rpc::call_tracker& calls) -> std::shared_ptr<attempt_call>
+auto attempt_call::open(wire::sidecar_gate::Stub& stub, const identity& who, content what,
+                        activity_ptr activity, link_sink sink, rpc::call_tracker& calls)
+    -> std::shared_ptr<attempt_call>
 {
-    std::shared_ptr<attempt_call> made(
-        new attempt_call(who, std::move(what.prompt), std::move(pulse), std::move(sink), calls));
-    made->self_ = made;
-    made->context_.set_deadline(std::chrono::system_clock::now() + what.spec.remaining + deadline_slack);
-    *made->outgoing_.mutable_open() = rpc::to_wire(what.spec);
-    calls.begin(made->context_);
-    stub.async()->attempt(&made->context_, made.get());
-    made->AddHold();
-    made->StartRead(&made->incoming_);
-    made->StartWrite(&made->outgoing_);
-    made->StartCall();
-    return made;
+    std::shared_ptr<attempt_call> call(
+        new attempt_call(who, std::move(what.prompt), std::move(activity), std::move(sink), calls));
+    call->self_ = call;
+    call->context_.set_deadline(std::chrono::system_clock::now() + what.spec.remaining + deadline_slack);
+    *call->outgoing_.mutable_open() = rpc::to_wire(what.spec);
+    calls.begin(call->context_);
+    stub.async()->attempt(&call->context_, call.get());
+    call->AddHold();
+    call->StartRead(&call->incoming_);
+    call->StartWrite(&call->outgoing_);
+    call->StartCall();
+    return call;
 }
 
-attempt_call::attempt_call(identity who, std::shared_ptr<const std::string> prompt, pulse_ptr pulse,
+attempt_call::attempt_call(identity who, std::shared_ptr<const std::string> prompt, activity_ptr activity,
                            link_sink sink, rpc::call_tracker& calls)
     : who_(std::move(who))
     , prompt_(std::move(prompt))
-    , pulse_(std::move(pulse))
+    , activity_(std::move(activity))
     , sink_(std::move(sink))
     , calls_(calls)
 {
@@ -46,9 +47,9 @@
 void attempt_call::send_prompt()
 {
     const std::lock_guard lock(mutex_);
-    prompt_wanted_ = true;
-    if (!writing_ && held_) {
-        write_piece_locked();
+    prompt_requested_ = true;
+    if (!writing_ && has_hold_) {
+        write_chunk_locked();
     }
 }
 
@@ -56,39 +57,39 @@
 {
     context_.TryCancel();
     const std::lock_guard lock(mutex_);
-    ended_ = true; // whoever cancels wants to hear no more of it
+    end_reported_ = true; // whoever cancels wants to hear no more of it
     release_locked();
 }
 
-void attempt_call::lose()
+void attempt_call::abort()
 {
     context_.TryCancel();
     const std::lock_guard lock(mutex_);
     release_locked();
 }
 
-auto attempt_call::over() const -> bool
+auto attempt_call::is_done() const -> bool
 {
     const std::lock_guard lock(mutex_);
-    return over_;
+    return done_;
 }
 
-void attempt_call::write_piece_locked()
+void attempt_call::write_chunk_locked()
 {
-    const auto length = std::min(piece_bytes, prompt_->size() - prompt_sent_);
+    const auto length = std::min(prompt_chunk_bytes, prompt_->size() - prompt_sent_);
     outgoing_.Clear();
-    auto& piece = *outgoing_.mutable_prompt();
-    piece.set_text(prompt_->data() + prompt_sent_, length);
+    auto& chunk = *outgoing_.mutable_prompt();
+    chunk.set_text(prompt_->data() + prompt_sent_, length);
     prompt_sent_ += length;
-    piece.set_last(prompt_sent_ == prompt_->size());
-    prompt_begun_ = true;
+    chunk.set_last(prompt_sent_ == prompt_->size());
+    prompt_started_ = true;
     writing_ = true;
     StartWrite(&outgoing_);
 }
 
 void attempt_call::release_locked()
 {
-    if (std::exchange(held_, false)) {
+    if (std::exchange(has_hold_, false)) {
         RemoveHold();
     }
 }
@@ -97,14 +98,14 @@
 {
     const std::lock_guard lock(mutex_);
     writing_ = false;
-    const bool prompt_left = !prompt_begun_ || prompt_sent_ < prompt_->size();
-    if (!ok || !prompt_left) {
+    const bool prompt_remaining = !prompt_started_ || prompt_sent_ < prompt_->size();
+    if (!ok || !prompt_remaining) {
         prompt_.reset();
         release_locked();
         return;
     }
-    if (prompt_wanted_ && held_) {
-        write_piece_locked();
+    if (prompt_requested_ && has_hold_) {
+        write_chunk_locked();
     }
 }
 
@@ -115,23 +116,23 @@
         release_locked();
         return;
     }
-    pulse_->beat();
-    pass_on(incoming_);
+    activity_->record_receive();
+    forward_event(incoming_);
     incoming_.Clear();
     StartRead(&incoming_);
 }
 
-void attempt_call::pass_on(const wire::attempt_event& event)
+void attempt_call::forward_event(const wire::attempt_event& event)
 {
     if (event.has_load()) {
         sink_(gateway_event(gateway_input::load_reported{who_.upstream, rpc::from_wire(event.load())}));
     }
     {
         const std::lock_guard lock(mutex_);
-        if (ended_) {
+        if (end_reported_) {
             return;
         }
-        ended_ = event.has_refused() || event.has_finished();
+        end_reported_ = event.has_refused() || event.has_finished();
     }
     if (event.has_granted()) {
         sink_(gateway_event(gateway_input::attempt_granted{who_.key}));
@@ -153,16 +154,16 @@
 
 void attempt_call::OnDone(const grpc::Status& /*status*/)
 {
-    bool prompt_begun = false;
-    bool say_broken = false;
+    bool prompt_started = false;
+    bool report_broken = false;
     {
         const std::lock_guard lock(mutex_);
-        over_ = true;
-        say_broken = !std::exchange(ended_, true);
-        prompt_begun = prompt_begun_;
+        done_ = true;
+        report_broken = !std::exchange(end_reported_, true);
+        prompt_started = prompt_started_;
     }
-    if (say_broken) {
-        sink_(gateway_event(gateway_input::attempt_broken{who_.key, prompt_begun}));
+    if (report_broken) {
+        sink_(gateway_event(gateway_input::attempt_broken{who_.key, prompt_started}));
     }
     const auto last = std::move(self_);
     calls_.end(context_);
--- a/src/gateway/attempt_call.h
+++ b/src/gateway/attempt_call.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "gate.grpc.pb.h"
-#include "gateway/connection_pulse.h"
+#include "gateway/connection_activity.h"
 #include "gateway/link_event.h"
 #include "rpc/call_tracker.h"
 
@@ -33,7 +33,7 @@
     };
 
     /// Opens the call.
-    static auto open(wire::sidecar_gate::Stub& stub, const identity& who, content what, pulse_ptr pulse,
+    static auto open(wire::sidecar_gate::Stub& stub, const identity& who, content what, activity_ptr activity,
                      link_sink sink, rpc::call_tracker& calls) -> std::shared_ptr<attempt_call>;
 
     /// Sends the prompt, a piece at a time.
@@ -41,25 +41,25 @@
     /// Ends the call; the sidecar then cancels its work, and nothing more is handed to the sink.
     void cancel();
     /// Ends the call because its connection is given up; the sink is told that it broke.
-    void lose();
+    void abort();
     /// Whether it is over.
-    [[nodiscard]] auto over() const -> bool;
+    [[nodiscard]] auto is_done() const -> bool;
 
     void OnReadDone(bool ok) override;
     void OnWriteDone(bool ok) override;
     void OnDone(const grpc::Status& status) override;
 
 private:
-    attempt_call(identity who, std::shared_ptr<const std::string> prompt, pulse_ptr pulse, link_sink sink,
-                 rpc::call_tracker& calls);
+    attempt_call(identity who, std::shared_ptr<const std::string> prompt, activity_ptr activity,
+                 link_sink sink, rpc::call_tracker& calls);
 
-    void pass_on(const wire::attempt_event& event);
-    void write_piece_locked();
+    void forward_event(const wire::attempt_event& event);
+    void write_chunk_locked();
     void release_locked();
 
     identity who_;
     std::shared_ptr<const std::string> prompt_;
-    pulse_ptr pulse_;
+    activity_ptr activity_;
     link_sink sink_;
     rpc::call_tracker& calls_;
     std::shared_ptr<attempt_call> self_; // keeps it alive until OnDone
@@ -69,11 +69,11 @@
     mutable std::mutex mutex_;
     std::size_t prompt_sent_ = 0;
     bool writing_ = true; // the opening message
-    bool prompt_wanted_ = false;
-    bool prompt_begun_ = false;
-    bool held_ = true;   // the transport waits for us before it calls OnDone
-    bool ended_ = false; // a last word was handed on
-    bool over_ = false;
+    bool prompt_requested_ = false;
+    bool prompt_started_ = false;
+    bool has_hold_ = true;      // the transport waits for us before it calls OnDone
+    bool end_reported_ = false; // a last word was handed on
+    bool done_ = false;
 };
 
 } // namespace dragonflymill::gateway
--- a/src/gateway/caller_admission.cpp
+++ b/src/gateway/caller_admission.cpp
@@ -2,7 +2,7 @@
 
 #include "dragonflymill/route/prompt_blocks.h"
 #include "gateway/account_keys.h"
-#include "gateway/answer_text.h"
+#include "gateway/http_responses.h"
 #include "http/http_text.h"
 #include "log/logger.h"
 #include "runtime/clock.h"
@@ -16,9 +16,9 @@
 
 constexpr std::size_t block_bytes = static_cast<std::size_t>(block_tokens) * 4;
 constexpr std::string_view services_prefix = "/v1/services/";
-constexpr std::size_t max_key_length = 256;
-constexpr duration full_retry_hint = 500ms;
-constexpr duration body_retry_hint = 2s;
+constexpr std::size_t max_idempotency_key_length = 256;
+constexpr duration ring_full_retry_after = 500ms;
+constexpr duration body_limit_retry_after = 2s;
 
 auto find_model(const bundle& current, const std::string& name) -> const model_entry*
 {
@@ -66,19 +66,19 @@
 
 auto split_service_target(const std::string& target) -> service_path
 {
-    const auto behind = target.substr(services_prefix.size());
-    const auto end = behind.find_first_of("/?");
+    const auto route_and_rest = target.substr(services_prefix.size());
+    const auto end = route_and_rest.find_first_of("/?");
     if (end == std::string::npos) {
-        return {behind, "/"};
+        return {route_and_rest, "/"};
     }
-    auto rest = behind.substr(end);
+    auto rest = route_and_rest.substr(end);
     if (rest.front() == '?') {
         rest.insert(rest.begin(), '/');
     }
-    return {behind.substr(0, end), std::move(rest)};
+    return {route_and_rest.substr(0, end), std::move(rest)};
 }
 
-auto wish_of(const std::string& method, const std::string& rest) -> service_operation
+auto operation_of(const std::string& method, const std::string& rest) -> service_operation
 {
     if (method == "POST" && rest == "/tickets") {
         return service_operation::ticket;
@@ -96,15 +96,16 @@
     return exchange_number(session.exchange());
 }
 
-caller_admission::caller_admission(caller_admission_options options, std::function<bool(arrival)> on_arrival,
+caller_admission::caller_admission(caller_admission_options options,
+                                   std::function<bool(accepted_request)> on_accepted,
                                    std::function<std::string()> metrics)
     : options_(std::move(options))
-    , on_arrival_(std::move(on_arrival))
+    , on_accepted_(std::move(on_accepted))
     , metrics_(std::move(metrics))
 {
 }
 
-void caller_admission::adopt(std::shared_ptr<const bundle> in_force)
+void caller_admission::set_bundle(std::shared_ptr<const bundle> in_force)
 {
     const std::lock_guard lock(mutex_);
     in_force_ = std::move(in_force);
@@ -116,19 +117,19 @@
     return in_force_;
 }
 
-auto caller_admission::new_request() -> request_id
+auto caller_admission::next_request_id() -> request_id
 {
     return request_id(options_.self.text() + "-" + std::to_string(options_.start) + "-" +
                       std::to_string(++requests_));
 }
 
-void caller_admission::take(const session_ptr& session, http::http_request request)
+void caller_admission::handle_request(const session_ptr& session, http::http_request request)
 {
     if (auto answer = answer_without_account(request)) {
         session->respond(session->exchange(), std::move(*answer));
         return;
     }
-    const auto id = new_request();
+    const auto id = next_request_id();
     const auto current = in_force();
     if (!current) {
         session->respond(session->exchange(),
@@ -142,13 +143,13 @@
                                                         "send Authorization: Bearer with the account's key"));
         return;
     }
-    take_for(*account, *current, session, std::move(request), id);
+    handle_authorized(*account, *current, session, std::move(request), id);
 }
 
-auto caller_admission::no_room() -> http::http_response
+auto caller_admission::body_limit_response() -> http::http_response
 {
-    return refusal_response(new_request(), {refusal_code::overloaded, ran_state::no, body_retry_hint,
-                                            "come back after the time given"});
+    return refusal_response(next_request_id(), {refusal_code::overloaded, ran_state::no,
+                                                body_limit_retry_after, "come back after the time given"});
 }
 
 auto caller_admission::answer_without_account(const http::http_request& request) const
@@ -181,22 +182,23 @@
     return {200, "text/plain", {}, "ready\n"};
 }
 
-void caller_admission::take_for(const account_entry& account, const bundle& current,
-                                const session_ptr& session, http::http_request request, const request_id& id)
+void caller_admission::handle_authorized(const account_entry& account, const bundle& current,
+                                         const session_ptr& session, http::http_request request,
+                                         const request_id& id)
 {
     const auto path = request.path();
     if (path == "/v1/models" && request.method == "GET") {
         session->respond(session->exchange(), models_response(id, current.models));
     }
     else if (path == "/v1/completions" && request.method == "POST") {
-        take_completion(account, current, session, request, id);
+        handle_completion(account, current, session, request, id);
     }
     else if (path == "/v1/completions" || path == "/v1/models") {
         session->respond(session->exchange(), rejection(id, 405, "method_not_allowed",
                                                         "use POST /v1/completions or GET /v1/models"));
     }
     else if (path.rfind(services_prefix, 0) == 0) {
-        take_service(account, current, session, std::move(request), id);
+        handle_service(account, current, session, std::move(request), id);
     }
     else {
         session->respond(
@@ -205,9 +207,9 @@
     }
 }
 
-void caller_admission::take_completion(const account_entry& account, const bundle& current,
-                                       const session_ptr& session, const http::http_request& request,
-                                       const request_id& id)
+void caller_admission::handle_completion(const account_entry& account, const bundle& current,
+                                         const session_ptr& session, const http::http_request& request,
+                                         const request_id& id)
 {
     auto read = read_completion_request(request.body);
     if (!read) {
@@ -231,19 +233,19 @@
     event.prompt_tokens = estimate_tokens(asked.prompt.size());
     event.max_tokens = asked.max_tokens;
     event.blocks = prompt_blocks(asked.prompt, block_bytes);
-    event.time_limit = std::min(asked.time_limit.value_or(options_.longest_limit), options_.longest_limit);
-    exchange held;
-    held.model = asked.model;
-    held.stream = asked.stream;
-    held.prompt_tokens = event.prompt_tokens;
-    held.prompt = std::make_shared<const std::string>(std::move(asked.prompt));
-    held.request = id;
-    hand_on(session, {std::move(held), std::move(event)});
+    event.time_limit = std::min(asked.time_limit.value_or(options_.max_time_limit), options_.max_time_limit);
+    exchange pending;
+    pending.model = asked.model;
+    pending.stream = asked.stream;
+    pending.prompt_tokens = event.prompt_tokens;
+    pending.prompt = std::make_shared<const std::string>(std::move(asked.prompt));
+    pending.request = id;
+    submit(session, {std::move(pending), std::move(event)});
 }
 
-void caller_admission::take_service(const account_entry& account, const bundle& current,
-                                    const session_ptr& session, http::http_request request,
-                                    const request_id& id)
+void caller_admission::handle_service(const account_entry& account, const bundle& current,
+                                      const session_ptr& session, http::http_request request,
+                                      const request_id& id)
 {
     auto path = split_service_target(request.target);
     const auto* route = find_service(current, path.route);
@@ -254,7 +256,7 @@
     }
     gateway_input::service_arrived event;
     event.exchange = number_of(*session);
-    event.operation = wish_of(request.method, path.rest);
+    event.operation = operation_of(request.method, path.rest);
     event.spec.request = id;
     event.spec.route = route->id;
     event.spec.account = account.id;
@@ -266,34 +268,34 @@
     event.spec.content_type = request.field("Content-Type");
     event.spec.body = std::move(request.body);
     event.spec.idempotent = route->idempotent;
-    event.spec.remaining = std::min(route->time_limit, options_.longest_limit);
-    if (event.spec.idempotency_key.size() > max_key_length) {
+    event.spec.remaining = std::min(route->time_limit, options_.max_time_limit);
+    if (event.spec.idempotency_key.size() > max_idempotency_key_length) {
         session->respond(session->exchange(), rejection(id, 400, "invalid_request",
                                                         "send an Idempotency-Key of at most 256 characters"));
         return;
     }
-    const bool named = !event.spec.ticket.empty() || !event.spec.idempotency_key.empty();
-    if (event.operation == service_operation::status && !named) {
+    const bool identified = !event.spec.ticket.empty() || !event.spec.idempotency_key.empty();
+    if (event.operation == service_operation::status && !identified) {
         session->respond(session->exchange(),
                          rejection(id, 400, "invalid_request",
                                    "name the call with Dragonflymill-Ticket or Idempotency-Key"));
         return;
     }
-    exchange held;
-    held.request = id;
-    hand_on(session, {std::move(held), std::move(event)});
+    exchange pending;
+    pending.request = id;
+    submit(session, {std::move(pending), std::move(event)});
 }
 
-void caller_admission::hand_on(const session_ptr& session, arrival made)
+void caller_admission::submit(const session_ptr& session, accepted_request accepted)
 {
-    const auto id = made.held.request;
-    made.held.session = session;
-    made.held.session_exchange = session->exchange();
-    made.held.arrived = runtime::now();
-    if (!on_arrival_(std::move(made))) {
+    const auto id = accepted.pending.request;
+    accepted.pending.session = session;
+    accepted.pending.session_exchange = session->exchange();
+    accepted.pending.arrived = runtime::now();
+    if (!on_accepted_(std::move(accepted))) {
         log_event(event::ring_full, field("request", id));
         session->respond(session->exchange(),
-                         refusal_response(id, {refusal_code::overloaded, ran_state::no, full_retry_hint,
+                         refusal_response(id, {refusal_code::overloaded, ran_state::no, ring_full_retry_after,
                                                "come back after the time given"}));
     }
 }
--- a/src/gateway/caller_admission.h
+++ b/src/gateway/caller_admission.h
@@ -15,18 +15,18 @@
 namespace dragonflymill::gateway {
 
 /// A caller's request, read and checked, on its way to the deciding thread.
-struct arrival
+struct accepted_request
 {
-    exchange held;       ///< What is needed to answer it.
+    exchange pending;    ///< What is needed to answer it.
     gateway_event event; ///< What the deciding thread is told.
 };
 
 /// What a gateway's HTTP side needs to know.
 struct caller_admission_options
 {
-    process_id self;               ///< The gateway; part of each request's name.
-    std::uint64_t start = 0;       ///< Number of this start; part of each request's name.
-    duration longest_limit = 5min; ///< Time limit of requests that name none, and the most they may name.
+    process_id self;                ///< The gateway; part of each request's name.
+    std::uint64_t start = 0;        ///< Number of this start; part of each request's name.
+    duration max_time_limit = 5min; ///< Time limit of requests that name none, and the most they may name.
 };
 
 /// Reads callers' requests: checks them against the bundle in force and hands them on. Runs on the HTTP
@@ -36,16 +36,16 @@
 public:
     /// Hands arrivals to `on_arrival`, which says false when there is no room; `metrics` gives the metrics'
     /// text.
-    caller_admission(caller_admission_options options, std::function<bool(arrival)> on_arrival,
+    caller_admission(caller_admission_options options, std::function<bool(accepted_request)> on_accepted,
                      std::function<std::string()> metrics);
 
     /// Answers or hands on one request.
-    void take(const std::shared_ptr<http::http_session>& session, http::http_request request);
+    void handle_request(const std::shared_ptr<http::http_session>& session, http::http_request request);
 
     /// The answer to a request for whose body there is no room; its body has not been read.
-    [[nodiscard]] auto no_room() -> http::http_response;
+    [[nodiscard]] auto body_limit_response() -> http::http_response;
     /// A bundle has come into force.
-    void adopt(std::shared_ptr<const bundle> in_force);
+    void set_bundle(std::shared_ptr<const bundle> in_force);
     /// Whether the gateway takes requests at all; false from the beginning of a planned stop.
     void set_stopping(bool stopping) { stopping_ = stopping; }
 
@@ -53,20 +53,20 @@
     using session_ptr = std::shared_ptr<http::http_session>;
 
     [[nodiscard]] auto in_force() const -> std::shared_ptr<const bundle>;
-    [[nodiscard]] auto new_request() -> request_id;
+    [[nodiscard]] auto next_request_id() -> request_id;
     [[nodiscard]] auto answer_without_account(const http::http_request& request) const
         -> std::optional<http::http_response>;
     [[nodiscard]] auto readiness() const -> http::http_response;
-    void take_for(const account_entry& account, const bundle& current, const session_ptr& session,
-                  http::http_request request, const request_id& id);
-    void take_completion(const account_entry& account, const bundle& current, const session_ptr& session,
-                         const http::http_request& request, const request_id& id);
-    void take_service(const account_entry& account, const bundle& current, const session_ptr& session,
-                      http::http_request request, const request_id& id);
-    void hand_on(const session_ptr& session, arrival made);
+    void handle_authorized(const account_entry& account, const bundle& current, const session_ptr& session,
+                           http::http_request request, const request_id& id);
+    void handle_completion(const account_entry& account, const bundle& current, const session_ptr& session,
+                           const http::http_request& request, const request_id& id);
+    void handle_service(const account_entry& account, const bundle& current, const session_ptr& session,
+                        http::http_request request, const request_id& id);
+    void submit(const session_ptr& session, accepted_request accepted);
 
     caller_admission_options options_;
-    std::function<bool(arrival)> on_arrival_;
+    std::function<bool(accepted_request)> on_accepted_;
     std::function<std::string()> metrics_;
     mutable std::mutex mutex_;
     std::shared_ptr<const bundle> in_force_;
--- a/src/gateway/completion_request.cpp
+++ b/src/gateway/completion_request.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr std::size_t bytes_per_token = 4;
-constexpr std::size_t max_small_text = 1'024;
-constexpr std::int64_t most_tokens = 1'000'000;
-constexpr std::int64_t longest_time_ms = 24LL * 60 * 60 * 1'000;
+constexpr std::size_t max_short_text = 1'024;
+constexpr std::int64_t max_answer_tokens = 1'000'000;
+constexpr std::int64_t max_timeout_ms = 24LL * 60 * 60 * 1'000;
 
 /// Handler for Boost.JSON's parser: takes the fields of the outermost object as they come.
 class field_reader
@@ -57,22 +57,22 @@
     {
         on_string_part(part, n, failure);
         if (depth_ == 1) {
-            take_text();
+            finish_text();
         }
         return true;
     }
     auto on_number_part(json::string_view /*part*/, json::error_code& /*failure*/) -> bool { return true; }
     auto on_int64(std::int64_t value, json::string_view /*text*/, json::error_code& /*failure*/) -> bool
     {
-        return take_number(value);
+        return set_number(value);
     }
     auto on_uint64(std::uint64_t /*value*/, json::string_view /*text*/, json::error_code& /*failure*/) -> bool
     {
-        return take_number(most_tokens + longest_time_ms);
+        return set_number(max_answer_tokens + max_timeout_ms);
     }
     auto on_double(double /*value*/, json::string_view /*text*/, json::error_code& /*failure*/) -> bool
     {
-        return take_other("a number");
+        return reject_type("a number");
     }
     auto on_bool(bool value, json::error_code& /*failure*/) -> bool
     {
@@ -80,25 +80,25 @@
             request.stream = value;
             return true;
         }
-        return take_other("true or false");
+        return reject_type("true or false");
     }
     auto on_null(json::error_code& /*failure*/) -> bool { return true; }
     auto on_comment_part(json::string_view /*part*/, json::error_code& /*failure*/) -> bool { return true; }
     auto on_comment(json::string_view /*part*/, json::error_code& /*failure*/) -> bool { return true; }
 
     completion_request request;
-    std::string mistakes;
-    bool saw_object = false;
-    bool saw_prompt = false;
+    std::string errors;
+    bool is_object = false;
+    bool has_prompt = false;
 
 private:
-    auto begin(bool is_object) -> bool
+    auto begin(bool object) -> bool
     {
         if (depth_ == 0) {
-            saw_object = is_object;
+            is_object = object;
         }
         else if (depth_ == 1) {
-            take_other("a list or an object");
+            reject_type("a list or an object");
         }
         ++depth_;
         return true;
@@ -115,17 +115,17 @@
         if (key_ == "prompt") {
             request.prompt.append(part);
         }
-        else if (small_.size() < max_small_text) {
-            small_.append(part);
+        else if (short_text_.size() < max_short_text) {
+            short_text_.append(part);
         }
     }
 
-    void take_text()
+    void finish_text()
     {
-        const auto text = std::move(small_);
-        small_.clear();
+        const auto text = std::move(short_text_);
+        short_text_.clear();
         if (key_ == "prompt") {
-            saw_prompt = true;
+            has_prompt = true;
         }
         else if (key_ == "model") {
             request.model = text;
@@ -134,14 +134,14 @@
             request.adapter = text;
         }
         else if (key_ == "priority") {
-            take_priority(text);
+            set_priority(text);
         }
         else if (key_ == "max_tokens" || key_ == "timeout_ms" || key_ == "stream") {
-            take_other("text");
+            reject_type("text");
         }
     }
 
-    void take_priority(std::string_view text)
+    void set_priority(std::string_view text)
     {
         if (text == "doorstep") {
             request.request_priority = priority::doorstep;
@@ -153,45 +153,45 @@
             request.request_priority = priority::overnight;
         }
         else {
-            mistakes += "priority must be \"doorstep\", \"standard\" or \"overnight\"; ";
+            errors += "priority must be \"doorstep\", \"standard\" or \"overnight\"; ";
         }
     }
 
-    auto take_number(std::int64_t value) -> bool
+    auto set_number(std::int64_t value) -> bool
     {
         if (depth_ != 1) {
             return true;
         }
         if (key_ == "max_tokens") {
-            if (value < 1 || value > most_tokens) {
-                mistakes += "max_tokens must be from 1 to " + std::to_string(most_tokens) + "; ";
+            if (value < 1 || value > max_answer_tokens) {
+                errors += "max_tokens must be from 1 to " + std::to_string(max_answer_tokens) + "; ";
             }
             request.max_tokens = value;
             return true;
         }
         if (key_ == "timeout_ms") {
-            if (value < 1 || value > longest_time_ms) {
-                mistakes += "timeout_ms must be from 1 to " + std::to_string(longest_time_ms) + "; ";
+            if (value < 1 || value > max_timeout_ms) {
+                errors += "timeout_ms must be from 1 to " + std::to_string(max_timeout_ms) + "; ";
             }
             request.time_limit = std::chrono::milliseconds(value);
             return true;
         }
-        return take_other("a number");
+        return reject_type("a number");
     }
 
-    auto take_other(const char* what) -> bool
+    auto reject_type(const char* what) -> bool
     {
         const bool known = key_ == "model" || key_ == "prompt" || key_ == "adapter" || key_ == "priority" ||
                            key_ == "max_tokens" || key_ == "timeout_ms" || key_ == "stream";
         if (depth_ == 1 && known) {
-            mistakes += key_ + " must not be " + what + "; ";
+            errors += key_ + " must not be " + what + "; ";
         }
         return true;
     }
 
     std::string key_;
     std::string partial_key_;
-    std::string small_;
+    std::string short_text_;
     std::size_t depth_ = 0;
 };
 
@@ -215,18 +215,18 @@
         return invalid("the body goes on behind its JSON value");
     }
     auto& reader = parser.handler();
-    if (!reader.saw_object) {
+    if (!reader.is_object) {
         return invalid("the body is not a JSON object");
     }
     if (reader.request.model.empty()) {
-        reader.mistakes += "model is missing; ";
+        reader.errors += "model is missing; ";
     }
-    if (!reader.saw_prompt || reader.request.prompt.empty()) {
-        reader.mistakes += "prompt is missing; ";
+    if (!reader.has_prompt || reader.request.prompt.empty()) {
+        reader.errors += "prompt is missing; ";
     }
-    if (!reader.mistakes.empty()) {
-        reader.mistakes.resize(reader.mistakes.size() - 2);
-        return invalid(std::move(reader.mistakes));
+    if (!reader.errors.empty()) {
+        reader.errors.resize(reader.errors.size() - 2);
+        return invalid(std::move(reader.errors));
     }
     return std::move(reader.request);
 }
@@ -238,18 +238,18 @@
 
 auto span_text(const std::string& prompt, token_count begin, token_count end) -> std::string
 {
-    const auto place_of = [&prompt](token_count token) {
-        auto place = std::min(prompt.size(), static_cast<std::size_t>(token) * bytes_per_token);
+    const auto byte_offset_of = [&prompt](token_count token) {
+        auto offset = std::min(prompt.size(), static_cast<std::size_t>(token) * bytes_per_token);
         constexpr unsigned char lead_mask = 0xC0;
         constexpr unsigned char continuation = 0x80;
-        while (place < prompt.size() &&
-               (static_cast<unsigned char>(prompt[place]) & lead_mask) == continuation) {
-            ++place;
+        while (offset < prompt.size() &&
+               (static_cast<unsigned char>(prompt[offset]) & lead_mask) == continuation) {
+            ++offset;
         }
-        return place;
+        return offset;
     };
-    const auto from = place_of(begin);
-    return prompt.substr(from, place_of(end) - from);
+    const auto from = byte_offset_of(begin);
+    return prompt.substr(from, byte_offset_of(end) - from);
 }
 
 } // namespace dragonflymill::gateway
--- a/src/gateway/connection_pulse.h
+++ b/src/gateway/connection_activity.h
@@ -11,24 +11,27 @@
 
 /// When anything was last received on one connection. Written by the transport's threads, read by the
 /// deciding thread.
-class connection_pulse
+class connection_activity
 {
 public:
     /// Something was received.
-    void beat() { last_.store(runtime::now().time_since_epoch().count(), std::memory_order_relaxed); }
+    void record_receive()
+    {
+        last_received_.store(runtime::now().time_since_epoch().count(), std::memory_order_relaxed);
+    }
     /// When something was last received; empty if nothing ever was.
-    [[nodiscard]] auto last() const -> std::optional<instant>
+    [[nodiscard]] auto last_received_at() const -> std::optional<instant>
     {
-        const auto count = last_.load(std::memory_order_relaxed);
+        const auto count = last_received_.load(std::memory_order_relaxed);
         return count == never ? std::nullopt : std::optional<instant>(instant(duration(count)));
     }
 
 private:
     static constexpr duration::rep never = -1;
-    std::atomic<duration::rep> last_{never};
+    std::atomic<duration::rep> last_received_{never};
 };
 
 /// Shared by a connection and the calls on it.
-using pulse_ptr = std::shared_ptr<connection_pulse>;
+using activity_ptr = std::shared_ptr<connection_activity>;
 
 } // namespace dragonflymill::gateway
--- a/src/gateway/gateway_daemon.cpp
+++ b/src/gateway/gateway_daemon.cpp
@@ -25,9 +25,9 @@
 
 constexpr int exit_ok = 0;
 constexpr int exit_failed = 1;
-constexpr duration flush_poll = 20ms;
+constexpr duration flush_poll_interval = 20ms;
 /// After the last answer was decided, its last bytes get this long to leave.
-constexpr duration longest_flush = 5s;
+constexpr duration max_flush_time = 5s;
 
 auto limits_of(const gateway_settings& settings) -> http::http_limits
 {
@@ -49,21 +49,24 @@
     gateway_daemon(const gateway_settings& settings, timeline_recorder timeline, std::string ticket_key)
         : settings_(settings)
         , timeline_(std::move(timeline))
-        , shell_(settings, std::move(ticket_key), timeline_, metrics_,
-                 {[this] { boost::asio::post(context_, [this] { on_all_done(); }); },
-                  [this](const ask_shares& asked) { request_account_shares(asked); }})
-        , gate_(
+        , gateway_server_(settings, std::move(ticket_key), timeline_, metrics_,
+                          {[this] { boost::asio::post(context_, [this] { on_all_done(); }); },
+                           [this](const ask_shares& asked) { request_account_shares(asked); }})
+        , admission_(
               {settings.process.name,
                static_cast<std::uint64_t>(runtime::wall_now().time_since_epoch().count()),
                settings.timeouts.request},
-              [this](gateway::arrival made) { return shell_.arrived(std::move(made)); },
+              [this](gateway::accepted_request accepted) {
+                  return gateway_server_.submit(std::move(accepted));
+              },
               [this] { return metrics_.prometheus_text(); })
-        , server_(http_thread_.context(), limits_of(settings),
-                  {[this](const std::shared_ptr<http::http_session>& session, http::http_request request) {
-                       gate_.take(session, std::move(request));
-                   },
-                   [this](std::uint64_t exchange) { shell_.caller_left(exchange); },
-                   [this] { return gate_.no_room(); }})
+        , http_server_(
+              http_thread_.context(), limits_of(settings),
+              {[this](const std::shared_ptr<http::http_session>& session, http::http_request request) {
+                   admission_.handle_request(session, std::move(request));
+               },
+               [this](std::uint64_t exchange) { gateway_server_.caller_disconnected(exchange); },
+               [this] { return admission_.body_limit_response(); }})
     {
     }
 
@@ -84,13 +87,13 @@
     boost::asio::io_context context_{1};
     boost::asio::signal_set signals_{context_, SIGTERM, SIGINT};
     boost::asio::steady_timer timer_{context_};
-    gateway::gateway_server shell_;
-    gateway::caller_admission gate_;
+    gateway::gateway_server gateway_server_;
+    gateway::caller_admission admission_;
     runtime::io_thread http_thread_;
-    http::http_server server_;
+    http::http_server http_server_;
     std::unique_ptr<control::daemon_control> control_;
     std::unique_ptr<control::admin_server> admin_;
-    bool stop_begun_ = false;
+    bool stop_started_ = false;
     bool was_ready_ = false; // the control thread's own
 };
 
@@ -103,7 +106,7 @@
     // A gateway that finds a later start of itself has been replaced: it finishes what it has and ends.
     handlers.on_superseded = [this] { boost::asio::post(context_, [this] { on_stop_signal(); }); };
     handlers.on_shares_asked = [this](const std::vector<share_request>& requests) {
-        return shell_.grant_shares(requests);
+        return gateway_server_.grant_shares(requests);
     };
     auto opened = control::daemon_control::open(
         {process_role::gateway, settings_.process, settings_.bundle, settings_.control}, std::move(handlers));
@@ -112,7 +115,7 @@
     }
     control_ = std::move(opened.value());
     admin_ = std::make_unique<control::admin_server>(
-        context_, *control_, [this] { return shell_.status(); }, [this] { on_stop_signal(); });
+        context_, *control_, [this] { return gateway_server_.status(); }, [this] { on_stop_signal(); });
     return admin_->listen(settings_.admin_listen);
 }
 
@@ -125,14 +128,14 @@
     if (!snapshot.ready) {
         return;
     }
-    shell_.adopt(snapshot);
-    gate_.adopt(snapshot.in_force);
+    gateway_server_.apply_snapshot(snapshot);
+    admission_.set_bundle(snapshot.in_force);
 }
 
 void gateway_daemon::request_account_shares(const ask_shares& asked)
 {
     control_->request_shares(asked, [this, at = asked.asked](std::vector<share_grant> grants) {
-        shell_.shares_granted(std::move(grants), at);
+        gateway_server_.shares_granted(std::move(grants), at);
     });
 }
 
@@ -143,17 +146,17 @@
         std::fprintf(stderr, "%s\n", control_opened.error().text().c_str());
         return exit_failed;
     }
-    const auto listening = server_.listen(to_text(settings_.http_listen));
+    const auto listening = http_server_.listen(to_text(settings_.http_listen));
     if (!listening) {
         log_event(event::listen_failed, field("address", to_text(settings_.http_listen)));
         std::fprintf(stderr, "%s\n", listening.error().text().c_str());
         return exit_failed;
     }
-    shell_.start();
+    gateway_server_.start();
     control_->start();
     http_thread_.start();
-    log_event(event::gateway_started, field("address", server_.local_address()));
-    std::printf("ready http %s gossip %s\n", server_.local_address().c_str(),
+    log_event(event::gateway_started, field("address", http_server_.local_address()));
+    std::printf("ready http %s gossip %s\n", http_server_.local_address().c_str(),
                 control_->gossip_address().c_str());
     std::fflush(stdout);
     signals_.async_wait([this](boost::system::error_code failure, int /*signal*/) {
@@ -165,7 +168,7 @@
     context_.run();
     http_thread_.stop();
     control_->stop();
-    shell_.join();
+    gateway_server_.join();
     log_event(event::gateway_stopped);
     return exit_ok;
 }
@@ -174,11 +177,11 @@
 {
     // The balancer in front learns only from /readyz that no caller should come here: for its lag this
     // process still accepts, so that no caller meets a closed port.
-    if (std::exchange(stop_begun_, true)) {
+    if (std::exchange(stop_started_, true)) {
         return;
     }
     log_event(event::gateway_stopping);
-    gate_.set_stopping(true);
+    admission_.set_stopping(true);
     control_->leave();
     timer_.expires_after(settings_.drain_lag);
     timer_.async_wait([this](boost::system::error_code failure) {
@@ -191,26 +194,26 @@
 void gateway_daemon::stop_accepting()
 {
     boost::asio::post(http_thread_.context(), [this] {
-        server_.stop_accepting();
-        shell_.stop();
+        http_server_.stop_accepting();
+        gateway_server_.stop();
     });
 }
 
 void gateway_daemon::on_all_done()
 {
-    wait_until_flushed(runtime::now() + longest_flush);
+    wait_until_flushed(runtime::now() + max_flush_time);
 }
 
 void gateway_daemon::wait_until_flushed(instant until)
 {
     boost::asio::post(http_thread_.context(), [this, until] {
-        const bool flushed = server_.connection_count() == 0;
+        const bool flushed = http_server_.connection_count() == 0;
         boost::asio::post(context_, [this, until, flushed] {
             if (flushed || runtime::now() >= until) {
                 context_.stop();
                 return;
             }
-            timer_.expires_after(flush_poll);
+            timer_.expires_after(flush_poll_interval);
             timer_.async_wait([this, until](boost::system::error_code failure) {
                 if (!failure) {
                     wait_until_flushed(until);
--- a/src/gateway/gateway_log.cpp
+++ b/src/gateway/gateway_log.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-void gateway_log::note(const gateway_event& input) const
+void gateway_log::log(const gateway_event& input) const
 {
     if (const auto* completion = std::get_if<gateway_input::completion_arrived>(&input)) {
         log_event(event::request_accepted, field("request", completion->request),
@@ -30,20 +30,20 @@
                   field("account", service->spec.account), field("route", service->spec.route));
     }
     else if (const auto* left = std::get_if<gateway_input::caller_left>(&input)) {
-        log_event(event::caller_left, field("request", name_of(left->exchange)));
+        log_event(event::caller_left, field("request", request_text(left->exchange)));
     }
 }
 
-void gateway_log::note(const gateway_action& action) const
+void gateway_log::log(const gateway_action& action) const
 {
     if (const auto* opened = std::get_if<gateway_output::open_attempt>(&action)) {
         log_attempt(*opened);
     }
     else if (const auto* cancelled = std::get_if<gateway_output::cancel_attempt>(&action)) {
-        log_event(event::request_cancelled, field("request", name_of(cancelled->key.exchange)));
+        log_event(event::request_cancelled, field("request", request_text(cancelled->key.exchange)));
     }
     else if (const auto* finished = std::get_if<gateway_output::finish>(&action)) {
-        log_event(event::request_finished, field("request", name_of(finished->exchange)),
+        log_event(event::request_finished, field("request", request_text(finished->exchange)),
                   field("tokens", finished->tokens));
     }
     else if (const auto* released = std::get_if<release_share>(&action)) {
@@ -51,11 +51,11 @@
                   field("upstream", released->upstream));
     }
     else if (const auto* answered = std::get_if<gateway_output::answer_service>(&action)) {
-        log_event(event::request_finished, field("request", name_of(answered->exchange)));
+        log_event(event::request_finished, field("request", request_text(answered->exchange)));
     }
 }
 
-auto gateway_log::name_of(exchange_number exchange) const -> std::string
+auto gateway_log::request_text(exchange_number exchange) const -> std::string
 {
     const auto found = exchanges_.find(exchange);
     return found == exchanges_.end() ? std::string() : found->second.request.text();
--- a/src/gateway/gateway_log.h
+++ b/src/gateway/gateway_log.h
@@ -20,12 +20,12 @@
     }
 
     /// Logs what is about to be taken in.
-    void note(const gateway_event& input) const;
+    void log(const gateway_event& input) const;
     /// Logs what is about to be done.
-    void note(const gateway_action& action) const;
+    void log(const gateway_action& action) const;
 
 private:
-    [[nodiscard]] auto name_of(exchange_number exchange) const -> std::string;
+    [[nodiscard]] auto request_text(exchange_number exchange) const -> std::string;
 
     const std::map<exchange_number, exchange>& exchanges_;
 };
--- a/src/gateway/gateway_server.cpp
+++ b/src/gateway/gateway_server.cpp
@@ -2,8 +2,8 @@
 
 #include "app/version.h"
 #include "dragonflymill/core/stable_hash.h"
-#include "gateway/answer_text.h"
 #include "gateway/completion_request.h"
+#include "gateway/http_responses.h"
 #include "log/logger.h"
 #include "runtime/clock.h"
 
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr duration tick_interval = 10ms;
-constexpr duration share_patience = 200ms;
+constexpr duration grant_timeout = 200ms;
 constexpr duration status_interval = 250ms;
 constexpr metric_name first_token_name{"dragonflymill_first_token_seconds",
                                        "Time from a request's arrival to its first token, by length class"};
@@ -42,7 +42,7 @@
 }
 
 /// What the core hears of a service call that never left.
-auto not_sent(const attempt_key& key) -> gateway_event
+auto unsent_service_call(const attempt_key& key) -> gateway_event
 {
     return gateway_input::service_refused{
         key, {refusal_code::upstream_gone, ran_state::no, 500ms, "come back after the time given"}};
@@ -64,7 +64,7 @@
 }
 
 /// Tells a request's event how long it has waited since it was read.
-void note_wait(duration waited, gateway_event& event)
+void set_wait_time(duration waited, gateway_event& event)
 {
     if (auto* completion = std::get_if<gateway_input::completion_arrived>(&event)) {
         completion->waited = waited;
@@ -85,20 +85,20 @@
     , metrics_(metrics)
     , handlers_(std::move(handlers))
     , core_(runtime::now(), core_options(settings, std::move(ticket_key)))
-    , decide_(settings.rings.deliveries, tick_interval)
+    , core_thread_(settings.rings.deliveries, tick_interval)
 {
 }
 
 void gateway_server::start()
 {
-    decide_.start([this](std::optional<shell_event> event) { handle(std::move(event)); });
+    core_thread_.start([this](std::optional<server_event> event) { handle(std::move(event)); });
 }
 
-void gateway_server::adopt(const control::control_snapshot& snapshot)
+void gateway_server::apply_snapshot(const control::control_snapshot& snapshot)
 {
-    if (snapshot.in_force && snapshot.in_force != adopted_) {
-        adopted_ = snapshot.in_force;
-        post(gateway_event(gateway_input::bundle_adopted{adopted_}));
+    if (snapshot.in_force && snapshot.in_force != adopted_bundle_) {
+        adopted_bundle_ = snapshot.in_force;
+        post(gateway_event(gateway_input::bundle_adopted{adopted_bundle_}));
     }
     member_info self;
     self.id = self_;
@@ -112,8 +112,8 @@
 {
     const auto answer = std::make_shared<std::promise<std::vector<share_grant>>>();
     auto future = answer->get_future();
-    const bool asked = decide_.post(share_question{requests, answer});
-    if (asked && future.wait_for(share_patience) == std::future_status::ready) {
+    const bool asked = core_thread_.post(grant_query{requests, answer});
+    if (asked && future.wait_for(grant_timeout) == std::future_status::ready) {
         return future.get();
     }
     return {}; // no word: the other gateway goes on with its equal parts
@@ -124,12 +124,12 @@
     post(gateway_event(gateway_input::shares_granted{std::move(grants), asked}));
 }
 
-auto gateway_server::arrived(arrival made) -> bool
+auto gateway_server::submit(accepted_request accepted) -> bool
 {
-    return decide_.post(std::move(made));
+    return core_thread_.post(std::move(accepted));
 }
 
-void gateway_server::caller_left(std::uint64_t exchange)
+void gateway_server::caller_disconnected(std::uint64_t exchange)
 {
     post(gateway_event(gateway_input::caller_left{exchange_number(exchange)}));
 }
@@ -141,30 +141,30 @@
 
 void gateway_server::join()
 {
-    decide_.stop();
+    core_thread_.stop();
     links_.clear();
     calls_.cancel_and_wait();
 }
 
 void gateway_server::post(link_event event)
 {
-    static_cast<void>(decide_.post_waiting(std::move(event)));
+    static_cast<void>(core_thread_.post_waiting(std::move(event)));
 }
 
-void gateway_server::handle(std::optional<shell_event> event)
+void gateway_server::handle(std::optional<server_event> event)
 {
     const auto now = runtime::now();
     if (event) {
-        if (auto* made = std::get_if<arrival>(&*event)) {
-            const exchange_number number(made->held.session_exchange);
-            note_wait(now - made->held.arrived, made->event);
-            timeline_.record(made->held.request, "arrived", made->held.model);
-            exchanges_.insert_or_assign(number, std::move(made->held));
-            log_.note(made->event);
-            carry_out(core_.step(now, made->event));
+        if (auto* accepted = std::get_if<accepted_request>(&*event)) {
+            const exchange_number number(accepted->pending.session_exchange);
+            set_wait_time(now - accepted->pending.arrived, accepted->event);
+            timeline_.record(accepted->pending.request, "arrived", accepted->pending.model);
+            exchanges_.insert_or_assign(number, std::move(accepted->pending));
+            log_.log(accepted->event);
+            execute(core_.step(now, accepted->event));
         }
-        else if (const auto* question = std::get_if<share_question>(&*event)) {
-            question->answer->set_value(core_.grant_shares(now, question->requests));
+        else if (const auto* query = std::get_if<grant_query>(&*event)) {
+            query->answer->set_value(core_.grant_shares(now, query->requests));
         }
         else {
             handle_link(std::move(std::get<link_event>(*event)));
@@ -185,74 +185,74 @@
         if (link != links_.end()) {
             link->second->heard(now);
         }
-        carry_out(core_.step(now, gateway_input::load_reported{answer->upstream, answer->load}));
+        execute(core_.step(now, gateway_input::load_reported{answer->upstream, answer->load}));
         return;
     }
     const auto& input = std::get<gateway_event>(event);
-    note_message(input);
-    log_.note(input);
-    forget_placement(input);
-    carry_out(core_.step(now, input));
-    if (const auto* left = std::get_if<gateway_input::caller_left>(&input)) {
-        exchanges_.erase(left->exchange);
+    record_message(input);
+    log_.log(input);
+    erase_placement(input);
+    execute(core_.step(now, input));
+    if (const auto* disconnected = std::get_if<gateway_input::caller_left>(&input)) {
+        exchanges_.erase(disconnected->exchange);
     }
 }
 
-void gateway_server::forget_placement(const gateway_event& input)
+void gateway_server::erase_placement(const gateway_event& input)
 {
     if (const auto* refused = std::get_if<gateway_input::attempt_refused>(&input)) {
-        placed_.erase(refused->key);
+        placements_.erase(refused->key);
     }
     else if (const auto* finished = std::get_if<gateway_input::attempt_finished>(&input)) {
-        placed_.erase(finished->key);
+        placements_.erase(finished->key);
     }
     else if (const auto* broken = std::get_if<gateway_input::attempt_broken>(&input)) {
-        placed_.erase(broken->key);
+        placements_.erase(broken->key);
     }
 }
 
-void gateway_server::note_message(const gateway_event& input)
+void gateway_server::record_message(const gateway_event& input)
 {
     if (const auto* granted = std::get_if<gateway_input::attempt_granted>(&input)) {
-        note_received(granted->key, "granted", grant_message);
+        record_received(granted->key, "granted", grant_message);
     }
     else if (const auto* refused = std::get_if<gateway_input::attempt_refused>(&input)) {
-        note_received(refused->key, "attempt_refused", end_message);
+        record_received(refused->key, "attempt_refused", end_message);
     }
     else if (const auto* finished = std::get_if<gateway_input::attempt_finished>(&input)) {
-        note_received(finished->key, "answer_end", end_message);
+        record_received(finished->key, "answer_end", end_message);
     }
 }
 
-void gateway_server::note_received(const attempt_key& key, std::string_view step, std::string_view message)
+void gateway_server::record_received(const attempt_key& key, std::string_view step, std::string_view message)
 {
-    const auto held = exchanges_.find(key.exchange);
-    if (held != exchanges_.end() && timeline_.enabled()) {
-        const request_id& request = held->second.request;
+    const auto pending = exchanges_.find(key.exchange);
+    if (pending != exchanges_.end() && timeline_.enabled()) {
+        const request_id& request = pending->second.request;
         timeline_.record_receive(request, step, attempt_message(request, key.attempt, message));
     }
 }
 
 void gateway_server::tick(instant now)
 {
-    carry_out(core_.step(now, gateway_input::tick{}));
+    execute(core_.step(now, gateway_input::tick{}));
     publish_status(now);
     for (const auto& [upstream, link] : links_) {
-        const auto news = link->tick(now);
-        if (news.replaced) {
+        const auto result = link->tick(now);
+        if (result.connection_replaced) {
             log_event(event::upstream_connection_silent, field("upstream", upstream));
         }
-        if (news.state) {
-            note_state(upstream, *news.state);
-            carry_out(core_.step(now, gateway_input::upstream_changed{upstream, *news.state}));
+        if (result.state) {
+            log_state(upstream, *result.state);
+            execute(core_.step(now, gateway_input::upstream_changed{upstream, *result.state}));
         }
-        for (const auto& key : news.not_sent) {
-            carry_out(core_.step(now, not_sent(key)));
+        for (const auto& key : result.unsent_calls) {
+            execute(core_.step(now, unsent_service_call(key)));
         }
     }
 }
 
-void gateway_server::note_state(const upstream_id& upstream, upstream_state state)
+void gateway_server::log_state(const upstream_id& upstream, upstream_state state)
 {
     if (state == upstream_state::dead) {
         log_event(event::upstream_lost, field("upstream", upstream));
@@ -280,50 +280,50 @@
     status_.set(std::move(status));
 }
 
-void gateway_server::carry_out(const std::vector<gateway_action>& actions)
+void gateway_server::execute(const std::vector<gateway_action>& actions)
 {
     for (const auto& action : actions) {
-        carry_out(action);
+        execute(action);
     }
     while (!follow_ups_.empty()) {
         const auto next = std::move(follow_ups_.front());
         follow_ups_.pop_front();
         for (const auto& action : core_.step(runtime::now(), next)) {
-            carry_out(action);
+            execute(action);
         }
     }
 }
 
-void gateway_server::carry_out(const gateway_action& action)
+void gateway_server::execute(const gateway_action& action)
 {
-    log_.note(action);
-    std::visit([this](const auto& what) { act(what); }, action);
+    log_.log(action);
+    std::visit([this](const auto& what) { execute_action(what); }, action);
 }
 
-void gateway_server::follow_up(gateway_event event)
+void gateway_server::enqueue_follow_up(gateway_event event)
 {
     // Not through the ring: this thread is the one that empties it.
     follow_ups_.push_back(std::move(event));
 }
 
-void gateway_server::act(const gateway_output::open_attempt& action)
+void gateway_server::execute_action(const gateway_output::open_attempt& action)
 {
-    const auto held = exchanges_.find(action.key.exchange);
+    const auto pending = exchanges_.find(action.key.exchange);
     const auto link = links_.find(action.upstream);
-    if (held == exchanges_.end() || link == links_.end()) {
-        follow_up(gateway_input::attempt_broken{action.key, false});
+    if (pending == exchanges_.end() || link == links_.end()) {
+        enqueue_follow_up(gateway_input::attempt_broken{action.key, false});
         return;
     }
-    held->second.size = action.spec.size;
-    placed_.insert_or_assign(action.key, placement{action.upstream, action.spec.size});
-    timeline_.record_send(held->second.request, "attempt",
+    pending->second.size = action.spec.size;
+    placements_.insert_or_assign(action.key, placement{action.upstream, action.spec.size});
+    timeline_.record_send(pending->second.request, "attempt",
                           attempt_message(action.spec.request, action.spec.attempt, open_message),
                           action.upstream.text() + " " + to_string(action.reason));
     if (action.spec.share != lease_id{} && !action.spec.is_export()) {
         log_event(event::gang_reserved, field("request", action.spec.request),
                   field("upstream", action.upstream));
     }
-    auto prompt = held->second.prompt;
+    auto prompt = pending->second.prompt;
     if (action.spec.is_export()) {
         prompt = std::make_shared<const std::string>(
             span_text(*prompt, action.spec.span_begin, action.spec.span_end));
@@ -331,113 +331,115 @@
     link->second->open_attempt(runtime::now(), action.key, action.spec, std::move(prompt));
 }
 
-void gateway_server::act(const gateway_output::send_prompt& action)
+void gateway_server::execute_action(const gateway_output::send_prompt& action)
 {
-    const auto placed = placed_.find(action.key);
-    const auto link = placed == placed_.end() ? links_.end() : links_.find(placed->second.upstream);
+    const auto placed = placements_.find(action.key);
+    const auto link = placed == placements_.end() ? links_.end() : links_.find(placed->second.upstream);
     if (link != links_.end()) {
         link->second->send_prompt(placed->second.size, action.key);
     }
 }
 
-void gateway_server::act(const gateway_output::cancel_attempt& action)
+void gateway_server::execute_action(const gateway_output::cancel_attempt& action)
 {
-    const auto placed = placed_.find(action.key);
-    if (placed == placed_.end()) {
+    const auto placed = placements_.find(action.key);
+    if (placed == placements_.end()) {
         return;
     }
     const auto link = links_.find(placed->second.upstream);
     if (link != links_.end()) {
         link->second->cancel_attempt(placed->second.size, action.key);
     }
-    placed_.erase(placed);
+    placements_.erase(placed);
 }
 
-void gateway_server::act(const gateway_output::call_service& action)
+void gateway_server::execute_action(const gateway_output::call_service& action)
 {
     const auto link = links_.find(action.upstream);
-    const bool known = link != links_.end();
-    timeline_.record(action.spec.request, known ? "service_call" : "service_unreachable",
+    const bool connected = link != links_.end();
+    timeline_.record(action.spec.request, connected ? "service_call" : "service_unreachable",
                      action.upstream.text());
-    if (known) {
+    if (connected) {
         link->second->call_service(runtime::now(), action.key, action.operation, action.spec);
     }
     else {
-        follow_up(not_sent(action.key));
+        enqueue_follow_up(unsent_service_call(action.key));
     }
 }
 
-void gateway_server::act(const gateway_output::deliver& action)
+void gateway_server::execute_action(const gateway_output::deliver& action)
 {
     const auto found = exchanges_.find(action.exchange);
     if (found == exchanges_.end()) {
         return;
     }
-    auto& held = found->second;
-    if (std::exchange(held.answer_tokens,
-                      held.answer_tokens + static_cast<token_count>(action.tokens.size())) == 0) {
-        count_first_token(held);
+    auto& pending = found->second;
+    if (std::exchange(pending.answer_tokens,
+                      pending.answer_tokens + static_cast<token_count>(action.tokens.size())) == 0) {
+        count_first_token(pending);
     }
     std::string text;
     for (const auto& token : action.tokens) {
         text += token;
     }
-    if (!held.stream) {
-        held.answer += text;
+    if (!pending.stream) {
+        pending.answer += text;
         return;
     }
-    if (!std::exchange(held.stream_open, true)) {
-        held.session->open_events(held.session_exchange, {{"X-Request-Id", held.request.text()}});
+    if (!std::exchange(pending.stream_open, true)) {
+        pending.session->open_events(pending.session_exchange, {{"X-Request-Id", pending.request.text()}});
     }
-    held.session->send_event(held.session_exchange, completion_chunk(held.request, held.model, text, ""));
+    pending.session->send_event(pending.session_exchange,
+                                completion_chunk(pending.request, pending.model, text, ""));
 }
 
-void gateway_server::act(const gateway_output::finish& action)
+void gateway_server::execute_action(const gateway_output::finish& action)
 {
     const auto found = exchanges_.find(action.exchange);
     if (found == exchanges_.end()) {
         return;
     }
-    auto& held = found->second;
-    timeline_.record(held.request, "finished", action.reason);
+    auto& pending = found->second;
+    timeline_.record(pending.request, "finished", action.reason);
     metrics_.counter(requests_name, {{"answer", "whole"}}).add();
-    if (!held.stream) {
-        respond(action.exchange, completion_response(held.request, held.model, held.answer, action.reason,
-                                                     held.prompt_tokens, held.answer_tokens));
+    if (!pending.stream) {
+        respond(action.exchange,
+                completion_response(pending.request, pending.model, pending.answer, action.reason,
+                                    pending.prompt_tokens, pending.answer_tokens));
         return;
     }
-    if (!held.stream_open) {
-        held.session->open_events(held.session_exchange, {{"X-Request-Id", held.request.text()}});
+    if (!pending.stream_open) {
+        pending.session->open_events(pending.session_exchange, {{"X-Request-Id", pending.request.text()}});
     }
-    held.session->send_event(held.session_exchange,
-                             completion_chunk(held.request, held.model, "", action.reason));
-    held.session->send_event(held.session_exchange, "[DONE]");
-    held.session->close_events(held.session_exchange);
+    pending.session->send_event(pending.session_exchange,
+                                completion_chunk(pending.request, pending.model, "", action.reason));
+    pending.session->send_event(pending.session_exchange, "[DONE]");
+    pending.session->close_events(pending.session_exchange);
     exchanges_.erase(found);
 }
 
-void gateway_server::act(const gateway_output::refuse& action)
+void gateway_server::execute_action(const gateway_output::refuse& action)
 {
     const auto found = exchanges_.find(action.exchange);
     if (found == exchanges_.end()) {
         return;
     }
-    auto& held = found->second;
-    timeline_.record(held.request, "refused", to_string(action.why.code));
+    auto& pending = found->second;
+    timeline_.record(pending.request, "refused", to_string(action.why.code));
     metrics_.counter(requests_name, {{"answer", to_string(action.why.code)}}).add();
-    log_event(held.stream_open ? event::request_failed : event::request_refused,
-              field("request", held.request), field("code", to_string(action.why.code)),
+    log_event(pending.stream_open ? event::request_failed : event::request_refused,
+              field("request", pending.request), field("code", to_string(action.why.code)),
               field("ran", to_string(action.why.ran)));
-    if (!held.stream_open) {
-        respond(action.exchange, refusal_response(held.request, action.why));
+    if (!pending.stream_open) {
+        respond(action.exchange, refusal_response(pending.request, action.why));
         return;
     }
-    held.session->send_event(held.session_exchange, refusal_json(held.request, action.why));
-    held.session->close_events(held.session_exchange);
+    pending.session->send_event(pending.session_exchange, refusal_json(pending.request, action.why));
+    pending.session->close_events(pending.session_exchange);
     exchanges_.erase(found);
 }
 
-void gateway_server::act(const gateway_output::answer_service& action)
+void gateway_server::execute_action(const gateway_output::answer_service& action)
 {
     const auto found = exchanges_.find(action.exchange);
     if (found != exchanges_.end()) {
@@ -446,7 +448,7 @@
     }
 }
 
-void gateway_server::act(const gateway_output::give_ticket& action)
+void gateway_server::execute_action(const gateway_output::give_ticket& action)
 {
     const auto found = exchanges_.find(action.exchange);
     if (found != exchanges_.end()) {
@@ -454,7 +456,7 @@
     }
 }
 
-void gateway_server::act(const gateway_output::report_running& action)
+void gateway_server::execute_action(const gateway_output::report_running& action)
 {
     const auto found = exchanges_.find(action.exchange);
     if (found != exchanges_.end()) {
@@ -471,24 +473,24 @@
     }
 }
 
-void gateway_server::act(const reserve_share& action)
+void gateway_server::execute_action(const reserve_share& action)
 {
     timeline_.record(action.gang.request, "share_asked", action.upstream.text());
     call_share(action);
 }
 
-void gateway_server::act(const renew_share& action)
+void gateway_server::execute_action(const renew_share& action)
 {
     call_share(action);
 }
 
-void gateway_server::act(const release_share& action)
+void gateway_server::execute_action(const release_share& action)
 {
     timeline_.record(action.gang.request, "share_released", action.upstream.text());
     call_share(action);
 }
 
-void gateway_server::act(const gateway_output::connect_upstreams& action)
+void gateway_server::execute_action(const gateway_output::connect_upstreams& action)
 {
     std::set<upstream_id> wanted;
     for (const auto& upstream : action.upstreams) {
@@ -505,12 +507,12 @@
     }
 }
 
-void gateway_server::act(const gateway_output::request_account_shares& action)
+void gateway_server::execute_action(const gateway_output::request_account_shares& action)
 {
     handlers_.request_account_shares(action.asked);
 }
 
-void gateway_server::act(const gateway_output::probe_load& action)
+void gateway_server::execute_action(const gateway_output::probe_load& action)
 {
     const auto link = links_.find(action.upstream);
     if (link != links_.end()) {
@@ -518,7 +520,7 @@
     }
 }
 
-void gateway_server::act(const gateway_output::log_paused& action)
+void gateway_server::execute_action(const gateway_output::log_paused& action)
 {
     const auto found = exchanges_.find(action.exchange);
     if (found != exchanges_.end()) {
@@ -528,7 +530,7 @@
     }
 }
 
-void gateway_server::act(const gateway_output::log_resumed& action)
+void gateway_server::execute_action(const gateway_output::log_resumed& action)
 {
     const auto found = exchanges_.find(action.exchange);
     if (found != exchanges_.end()) {
@@ -537,7 +539,7 @@
     }
 }
 
-void gateway_server::act(const gateway_output::all_done& /*action*/)
+void gateway_server::execute_action(const gateway_output::all_done& /*action*/)
 {
     handlers_.on_all_done();
 }
@@ -549,11 +551,11 @@
     exchanges_.erase(found);
 }
 
-void gateway_server::count_first_token(const exchange& held)
+void gateway_server::count_first_token(const exchange& pending)
 {
-    timeline_.record(held.request, "first_token", to_string(held.size));
-    const auto waited = std::chrono::duration<double>(runtime::now() - held.arrived).count();
-    metrics_.histogram(first_token_name, second_buckets, {{"class", to_string(held.size)}}).record(waited);
+    timeline_.record(pending.request, "first_token", to_string(pending.size));
+    const auto waited = std::chrono::duration<double>(runtime::now() - pending.arrived).count();
+    metrics_.histogram(first_token_name, second_buckets, {{"class", to_string(pending.size)}}).record(waited);
 }
 
 } // namespace dragonflymill::gateway
--- a/src/gateway/heartbeat_call.cpp
+++ b/src/gateway/heartbeat_call.cpp
@@ -6,23 +6,23 @@
 
 namespace dragonflymill::gateway {
 
-auto heartbeat_call::open(wire::sidecar_gate::Stub& stub, identity who, pulse_ptr pulse, link_sink sink,
+auto heartbeat_call::open(wire::sidecar_gate::Stub& stub, identity who, activity_ptr activity, link_sink sink,
                           rpc::call_tracker& calls) -> std::shared_ptr<heartbeat_call>
 {
-    std::shared_ptr<heartbeat_call> made(
-        new heartbeat_call(std::move(who), std::move(pulse), std::move(sink), calls));
-    made->self_ = made;
-    calls.begin(made->context_);
-    stub.async()->heartbeat(&made->context_, made.get());
-    made->AddHold();
-    made->StartRead(&made->incoming_);
-    made->StartCall();
-    return made;
+    std::shared_ptr<heartbeat_call> call(
+        new heartbeat_call(std::move(who), std::move(activity), std::move(sink), calls));
+    call->self_ = call;
+    calls.begin(call->context_);
+    stub.async()->heartbeat(&call->context_, call.get());
+    call->AddHold();
+    call->StartRead(&call->incoming_);
+    call->StartCall();
+    return call;
 }
 
-heartbeat_call::heartbeat_call(identity who, pulse_ptr pulse, link_sink sink, rpc::call_tracker& calls)
+heartbeat_call::heartbeat_call(identity who, activity_ptr activity, link_sink sink, rpc::call_tracker& calls)
     : who_(std::move(who))
-    , pulse_(std::move(pulse))
+    , activity_(std::move(activity))
     , sink_(std::move(sink))
     , calls_(calls)
 {
@@ -31,7 +31,7 @@
 void heartbeat_call::send(std::uint64_t number)
 {
     const std::lock_guard lock(mutex_);
-    if (writing_ || !held_) {
+    if (writing_ || !has_hold_) {
         return;
     }
     outgoing_.set_number(number);
@@ -49,7 +49,7 @@
 
 void heartbeat_call::release_locked()
 {
-    if (std::exchange(held_, false)) {
+    if (std::exchange(has_hold_, false)) {
         RemoveHold();
     }
 }
@@ -61,7 +61,7 @@
         release_locked();
         return;
     }
-    pulse_->beat();
+    activity_->record_receive();
     sink_(heartbeat_answered{who_.upstream, rpc::from_wire(incoming_.load())});
     StartRead(&incoming_);
 }
@@ -77,7 +77,7 @@
 
 void heartbeat_call::OnDone(const grpc::Status& /*status*/)
 {
-    over_ = true;
+    done_ = true;
     const auto last = std::move(self_);
     calls_.end(context_);
 }
--- a/src/gateway/heartbeat_call.h
+++ b/src/gateway/heartbeat_call.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "gate.grpc.pb.h"
-#include "gateway/connection_pulse.h"
+#include "gateway/connection_activity.h"
 #include "gateway/link_event.h"
 #include "rpc/call_tracker.h"
 
@@ -25,7 +25,7 @@
     };
 
     /// Opens the call.
-    static auto open(wire::sidecar_gate::Stub& stub, identity who, pulse_ptr pulse, link_sink sink,
+    static auto open(wire::sidecar_gate::Stub& stub, identity who, activity_ptr activity, link_sink sink,
                      rpc::call_tracker& calls) -> std::shared_ptr<heartbeat_call>;
 
     /// Sends a heartbeat, unless the last one is still being written.
@@ -33,18 +33,18 @@
     /// Ends the call.
     void cancel();
     /// Whether it is over: the connection broke.
-    [[nodiscard]] auto over() const -> bool { return over_; }
+    [[nodiscard]] auto is_done() const -> bool { return done_; }
 
     void OnReadDone(bool ok) override;
     void OnWriteDone(bool ok) override;
     void OnDone(const grpc::Status& status) override;
 
 private:
-    heartbeat_call(identity who, pulse_ptr pulse, link_sink sink, rpc::call_tracker& calls);
+    heartbeat_call(identity who, activity_ptr activity, link_sink sink, rpc::call_tracker& calls);
     void release_locked();
 
     identity who_;
-    pulse_ptr pulse_;
+    activity_ptr activity_;
     link_sink sink_;
     rpc::call_tracker& calls_;
     std::shared_ptr<heartbeat_call> self_; // keeps it alive until OnDone
@@ -53,8 +53,8 @@
     wire::heartbeat_pong incoming_;
     std::mutex mutex_;
     bool writing_ = false;
-    bool held_ = true; // the transport waits for us before it calls OnDone
-    std::atomic<bool> over_{false};
+    bool has_hold_ = true; // the transport waits for us before it calls OnDone
+    std::atomic<bool> done_{false};
 };
 
 } // namespace dragonflymill::gateway
--- a/src/gateway/answer_text.cpp
+++ b/src/gateway/http_responses.cpp
@@ -1,4 +1,4 @@
-#include "gateway/answer_text.h"
+#include "gateway/http_responses.h"
 
 #include "http/error_body.h"
 
--- a/src/gateway/lane_connection.cpp
+++ b/src/gateway/sidecar_connection.cpp
@@ -1,4 +1,4 @@
-#include "gateway/lane_connection.h"
+#include "gateway/sidecar_connection.h"
 
 #include "rpc/stream_window.h"
 #include "rpc/transport_lifetime.h"
@@ -14,10 +14,10 @@
 namespace {
 
 constexpr int max_message_bytes = 8 * 1024 * 1024;
-constexpr int first_reconnect_ms = 100;
-constexpr int longest_reconnect_ms = 1'000;
+constexpr int initial_reconnect_ms = 100;
+constexpr int max_reconnect_ms = 1'000;
 constexpr duration deadline_slack = 2s;
-constexpr duration share_call_limit = 2s;
+constexpr duration share_call_timeout = 2s;
 
 auto make_channel(const std::string& address) -> std::shared_ptr<grpc::Channel>
 {
@@ -27,9 +27,9 @@
     arguments.SetInt(GRPC_ARG_ENABLE_RETRIES, 0);
     // Without this, channels to one address share a connection, and a long prompt holds up a short one.
     arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);
-    arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, first_reconnect_ms);
-    arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, first_reconnect_ms);
-    arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, longest_reconnect_ms);
+    arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, initial_reconnect_ms);
+    arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, initial_reconnect_ms);
+    arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, max_reconnect_ms);
     arguments.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);
     arguments.SetInt(GRPC_ARG_HTTP2_BDP_PROBE, 0);
     arguments.SetInt(GRPC_ARG_HTTP2_STREAM_LOOKAHEAD_BYTES, rpc::stream_window_bytes);
@@ -39,14 +39,14 @@
 
 /// A call with one answer, kept until it has come.
 template <typename Reply, typename Request = wire::service_call>
-struct pending_reply
+struct unary_call
 {
     grpc::ClientContext context;
     Request request;
     Reply reply;
 };
 
-auto broken_service(const attempt_key& key) -> gateway_event
+auto lost_service_call(const attempt_key& key) -> gateway_event
 {
     return gateway_input::service_refused{key,
                                           {refusal_code::upstream_gone, ran_state::unknown, duration::zero(),
@@ -57,7 +57,7 @@
     -> gateway_event
 {
     if (!status.ok()) {
-        return broken_service(key);
+        return lost_service_call(key);
     }
     if (reply.has_refused()) {
         return gateway_input::service_refused{key, rpc::from_wire(reply.refused())};
@@ -84,7 +84,7 @@
     -> gateway_event
 {
     if (!status.ok()) {
-        return broken_service(key);
+        return lost_service_call(key);
     }
     if (reply.has_refused()) {
         return gateway_input::service_refused{key, rpc::from_wire(reply.refused())};
@@ -94,37 +94,37 @@
 
 } // namespace
 
-lane_connection::lane_connection(const std::string& address, heartbeat_call::identity who, link_sink sink,
-                                 rpc::call_tracker& calls)
+sidecar_connection::sidecar_connection(const std::string& address, heartbeat_call::identity who,
+                                       link_sink sink, rpc::call_tracker& calls)
     : who_(std::move(who))
     , sink_(std::move(sink))
     , calls_(calls)
     , channel_(make_channel(address))
     , stub_(wire::sidecar_gate::NewStub(channel_))
-    , pulse_(std::make_shared<connection_pulse>())
-    , heartbeat_(heartbeat_call::open(*stub_, who_, pulse_, sink_, calls_))
-    , service_calls_(std::make_shared<std::atomic<std::size_t>>(0))
+    , activity_(std::make_shared<connection_activity>())
+    , heartbeat_(heartbeat_call::open(*stub_, who_, activity_, sink_, calls_))
+    , unary_calls_(std::make_shared<std::atomic<std::size_t>>(0))
 {
 }
 
-lane_connection::~lane_connection()
+sidecar_connection::~sidecar_connection()
 {
     heartbeat_->cancel();
     for (const auto& [key, call] : attempts_) {
-        if (!call->over()) {
-            call->lose();
+        if (!call->is_done()) {
+            call->abort();
         }
     }
 }
 
-void lane_connection::open_attempt(const attempt_key& key, const attempt_spec& spec,
-                                   std::shared_ptr<const std::string> prompt)
+void sidecar_connection::open_attempt(const attempt_key& key, const attempt_spec& spec,
+                                      std::shared_ptr<const std::string> prompt)
 {
     attempts_.insert_or_assign(key, attempt_call::open(*stub_, {who_.upstream, key},
-                                                       {spec, std::move(prompt)}, pulse_, sink_, calls_));
+                                                       {spec, std::move(prompt)}, activity_, sink_, calls_));
 }
 
-void lane_connection::send_prompt(const attempt_key& key)
+void sidecar_connection::send_prompt(const attempt_key& key)
 {
     const auto call = attempts_.find(key);
     if (call != attempts_.end()) {
@@ -132,7 +132,7 @@
     }
 }
 
-void lane_connection::cancel_attempt(const attempt_key& key)
+void sidecar_connection::cancel_attempt(const attempt_key& key)
 {
     const auto call = attempts_.find(key);
     if (call != attempts_.end()) {
@@ -141,26 +141,26 @@
     }
 }
 
-void lane_connection::call_service(const attempt_key& key, service_operation operation,
-                                   const service_spec& spec)
+void sidecar_connection::call_service(const attempt_key& key, service_operation operation,
+                                      const service_spec& spec)
 {
     const auto deadline = std::chrono::system_clock::now() + spec.remaining + deadline_slack;
-    ++*service_calls_;
+    ++*unary_calls_;
     const auto begin = [&](const auto& pending) {
         pending->context.set_deadline(deadline);
         pending->request = rpc::to_wire(spec);
         calls_.begin(pending->context);
     };
-    const auto end = [pulse = pulse_, left = service_calls_, &calls = calls_](const grpc::Status& status,
-                                                                              grpc::ClientContext& context) {
+    const auto end = [activity = activity_, unary_calls = unary_calls_,
+                      &calls = calls_](const grpc::Status& status, grpc::ClientContext& context) {
         if (status.ok()) {
-            pulse->beat();
+            activity->record_receive();
         }
-        --*left;
+        --*unary_calls;
         calls.end(context);
     };
     if (operation == service_operation::ticket) {
-        const auto pending = std::make_shared<pending_reply<wire::ticket_reply>>();
+        const auto pending = std::make_shared<unary_call<wire::ticket_reply>>();
         begin(pending);
         stub_->async()->issue_ticket(&pending->context, &pending->request, &pending->reply,
                                      [pending, key, sink = sink_, end](const grpc::Status& status) {
@@ -169,7 +169,7 @@
                                      });
         return;
     }
-    const auto pending = std::make_shared<pending_reply<wire::service_reply>>();
+    const auto pending = std::make_shared<unary_call<wire::service_reply>>();
     begin(pending);
     const auto done = [pending, key, sink = sink_, end](const grpc::Status& status) {
         sink(service_event(key, status, pending->reply));
@@ -184,33 +184,33 @@
 }
 
 template <typename Method, typename Answer>
-void lane_connection::ask_about_share(wire::gang_share_request request, Method method, Answer answer)
+void sidecar_connection::start_share_call(wire::gang_share_request request, Method method, Answer answer)
 {
-    const auto pending = std::make_shared<pending_reply<wire::gang_share_reply, wire::gang_share_request>>();
-    pending->context.set_deadline(std::chrono::system_clock::now() + share_call_limit);
+    const auto pending = std::make_shared<unary_call<wire::gang_share_reply, wire::gang_share_request>>();
+    pending->context.set_deadline(std::chrono::system_clock::now() + share_call_timeout);
     pending->request = std::move(request);
-    ++*service_calls_;
+    ++*unary_calls_;
     calls_.begin(pending->context);
     method(*stub_->async(), &pending->context, &pending->request, &pending->reply,
-           [pending, answer, upstream = who_.upstream, sink = sink_, pulse = pulse_, left = service_calls_,
-            &calls = calls_](const grpc::Status& status) {
+           [pending, answer, upstream = who_.upstream, sink = sink_, activity = activity_,
+            unary_calls = unary_calls_, &calls = calls_](const grpc::Status& status) {
                const auto& reply = pending->reply;
                if (status.ok() && reply.has_load()) {
                    sink(gateway_event(gateway_input::load_reported{upstream, rpc::from_wire(reply.load())}));
                }
                // A call that breaks says nothing: the planner asks again, or gives the share back.
                if (status.ok()) {
-                   pulse->beat();
+                   activity->record_receive();
                    answer(sink, upstream, reply);
                }
-               --*left;
+               --*unary_calls;
                calls.end(pending->context);
            });
 }
 
-void lane_connection::call_share(const reserve_share& wanted)
+void sidecar_connection::call_share(const reserve_share& wanted)
 {
-    ask_about_share(
+    start_share_call(
         rpc::to_wire(who_.gateway, wanted),
         [](auto& stub, auto... arguments) { stub.reserve_share(arguments...); },
         [gang = wanted.gang](const link_sink& sink, const upstream_id& upstream, const auto& reply) {
@@ -218,9 +218,9 @@
         });
 }
 
-void lane_connection::call_share(const renew_share& wanted)
+void sidecar_connection::call_share(const renew_share& wanted)
 {
-    ask_about_share(
+    start_share_call(
         rpc::to_wire(who_.gateway, wanted),
         [](auto& stub, auto... arguments) { stub.renew_share(arguments...); },
         [gang = wanted.gang](const link_sink& sink, const upstream_id& upstream, const auto& reply) {
@@ -228,9 +228,9 @@
         });
 }
 
-void lane_connection::call_share(const release_share& wanted)
+void sidecar_connection::call_share(const release_share& wanted)
 {
-    ask_about_share(
+    start_share_call(
         rpc::to_wire(who_.gateway, wanted),
         [](auto& stub, auto... arguments) { stub.release_share(arguments...); },
         [gang = wanted.gang](const link_sink& sink, const upstream_id& upstream, const auto& reply) {
@@ -240,39 +240,39 @@
         });
 }
 
-void lane_connection::send_heartbeat()
+void sidecar_connection::send_heartbeat()
 {
-    if (heartbeat_->over()) {
-        heartbeat_ = heartbeat_call::open(*stub_, who_, pulse_, sink_, calls_);
-        break_seen_ = false;
+    if (heartbeat_->is_done()) {
+        heartbeat_ = heartbeat_call::open(*stub_, who_, activity_, sink_, calls_);
+        disconnect_taken_ = false;
     }
-    heartbeat_->send(++heartbeats_);
+    heartbeat_->send(++last_heartbeat_);
 }
 
-auto lane_connection::newly_heard() -> std::optional<instant>
+auto sidecar_connection::take_received_at() -> std::optional<instant>
 {
-    const auto last = pulse_->last();
-    if (last == seen_) {
+    const auto last = activity_->last_received_at();
+    if (last == taken_received_at_) {
         return std::nullopt;
     }
-    seen_ = last;
+    taken_received_at_ = last;
     return last;
 }
 
-auto lane_connection::newly_broken() -> bool
+auto sidecar_connection::take_disconnect() -> bool
 {
-    return heartbeat_->over() && !std::exchange(break_seen_, true);
+    return heartbeat_->is_done() && !std::exchange(disconnect_taken_, true);
 }
 
-auto lane_connection::ready() const -> bool
+auto sidecar_connection::ready() const -> bool
 {
     return channel_->GetState(false) == GRPC_CHANNEL_READY;
 }
 
-auto lane_connection::work() -> std::size_t
+auto sidecar_connection::in_flight() -> std::size_t
 {
-    std::erase_if(attempts_, [](const auto& held) { return held.second->over(); });
-    return attempts_.size() + *service_calls_;
+    std::erase_if(attempts_, [](const auto& entry) { return entry.second->is_done(); });
+    return attempts_.size() + *unary_calls_;
 }
 
 } // namespace dragonflymill::gateway
--- a/src/gateway/lane_connection.h
+++ b/src/gateway/sidecar_connection.h
@@ -13,15 +13,15 @@
 
 /// One connection to a sidecar, for one length class: a long prompt on its way can't sit before a short one.
 /// Used by the deciding thread alone.
-class lane_connection
+class sidecar_connection
 {
 public:
     /// Connects to `address`.
-    lane_connection(const std::string& address, heartbeat_call::identity who, link_sink sink,
-                    rpc::call_tracker& calls);
-    ~lane_connection();
-    lane_connection(const lane_connection&) = delete;
-    auto operator=(const lane_connection&) -> lane_connection& = delete;
+    sidecar_connection(const std::string& address, heartbeat_call::identity who, link_sink sink,
+                       rpc::call_tracker& calls);
+    ~sidecar_connection();
+    sidecar_connection(const sidecar_connection&) = delete;
+    auto operator=(const sidecar_connection&) -> sidecar_connection& = delete;
 
     /// Opens a try.
     void open_attempt(const attempt_key& key, const attempt_spec& spec,
@@ -42,30 +42,30 @@
     void send_heartbeat();
 
     /// When something was last received, if that is news since the last look.
-    [[nodiscard]] auto newly_heard() -> std::optional<instant>;
+    [[nodiscard]] auto take_received_at() -> std::optional<instant>;
     /// Whether it broke, if that is news since the last look.
-    [[nodiscard]] auto newly_broken() -> bool;
+    [[nodiscard]] auto take_disconnect() -> bool;
     /// Whether the transport takes it for connected.
     [[nodiscard]] auto ready() const -> bool;
     /// Tries and calls on it that are not over.
-    [[nodiscard]] auto work() -> std::size_t;
+    [[nodiscard]] auto in_flight() -> std::size_t;
 
 private:
     template <typename Method, typename Answer>
-    void ask_about_share(wire::gang_share_request request, Method method, Answer answer);
+    void start_share_call(wire::gang_share_request request, Method method, Answer answer);
 
     heartbeat_call::identity who_;
     link_sink sink_;
     rpc::call_tracker& calls_;
     std::shared_ptr<grpc::Channel> channel_;
     std::unique_ptr<wire::sidecar_gate::Stub> stub_;
-    pulse_ptr pulse_;
+    activity_ptr activity_;
     std::shared_ptr<heartbeat_call> heartbeat_;
     std::map<attempt_key, std::shared_ptr<attempt_call>> attempts_;
-    std::shared_ptr<std::atomic<std::size_t>> service_calls_;
-    std::optional<instant> seen_;
-    bool break_seen_ = false;
-    std::uint64_t heartbeats_ = 0;
+    std::shared_ptr<std::atomic<std::size_t>> unary_calls_;
+    std::optional<instant> taken_received_at_;
+    bool disconnect_taken_ = false;
+    std::uint64_t last_heartbeat_ = 0;
 };
 
 } // namespace dragonflymill::gateway
--- a/src/gateway/sidecar_link.cpp
+++ b/src/gateway/sidecar_link.cpp
@@ -14,131 +14,132 @@
     , calls_(calls)
     , schedule_(now, times)
 {
-    open_lane(length_class::interactive);
+    open_connection(length_class::interactive);
 }
 
-void sidecar_link::open_lane(length_class size)
+void sidecar_link::open_connection(length_class size)
 {
-    lanes_[index_of(size)] = std::make_unique<lane_connection>(
+    connections_[index_of(size)] = std::make_unique<sidecar_connection>(
         address_, heartbeat_call::identity{upstream_, self_}, sink_, calls_);
 }
 
-auto sidecar_link::lane(instant now, length_class size) -> lane_connection&
+auto sidecar_link::connection_for(instant now, length_class size) -> sidecar_connection&
 {
-    if (!lanes_[index_of(size)]) {
-        open_lane(size);
+    if (!connections_[index_of(size)]) {
+        open_connection(size);
         schedule_.opened(now, size);
     }
-    return *lanes_[index_of(size)];
+    return *connections_[index_of(size)];
 }
 
 void sidecar_link::open_attempt(instant now, const attempt_key& key, const attempt_spec& spec,
                                 std::shared_ptr<const std::string> prompt)
 {
-    auto& connection = lane(now, spec.size);
+    auto& connection = connection_for(now, spec.size);
     connection.open_attempt(key, spec, std::move(prompt));
-    schedule_.set_in_flight(now, spec.size, connection.work(), true);
+    schedule_.set_in_flight(now, spec.size, connection.in_flight(), true);
 }
 
 void sidecar_link::send_prompt(length_class size, const attempt_key& key)
 {
-    if (lanes_[index_of(size)]) {
-        lanes_[index_of(size)]->send_prompt(key);
+    if (connections_[index_of(size)]) {
+        connections_[index_of(size)]->send_prompt(key);
     }
 }
 
 void sidecar_link::cancel_attempt(length_class size, const attempt_key& key)
 {
-    if (lanes_[index_of(size)]) {
-        lanes_[index_of(size)]->cancel_attempt(key);
+    if (connections_[index_of(size)]) {
+        connections_[index_of(size)]->cancel_attempt(key);
     }
 }
 
 void sidecar_link::call_service(instant now, const attempt_key& key, service_operation operation,
                                 const service_spec& spec)
 {
-    held_.push_back({key, operation, spec, now});
-    take_pulses(now);
-    send_held(now);
-    if (!held_.empty()) {
+    pending_calls_.push_back({key, operation, spec, now});
+    update_schedule(now);
+    send_pending_calls(now);
+    if (!pending_calls_.empty()) {
         schedule_.request_heartbeat(now, length_class::interactive);
     }
 }
 
 void sidecar_link::heard(instant now)
 {
-    take_pulses(now);
-    send_held(now);
+    update_schedule(now);
+    send_pending_calls(now);
 }
 
-void sidecar_link::take_pulses(instant now)
+void sidecar_link::update_schedule(instant now)
 {
     for (const auto size : all_length_classes) {
-        auto& held = lanes_[index_of(size)];
-        if (!held) {
+        auto& connection = connections_[index_of(size)];
+        if (!connection) {
             continue;
         }
-        if (const auto at = held->newly_heard()) {
+        if (const auto at = connection->take_received_at()) {
             schedule_.received(*at, size);
         }
-        schedule_.set_in_flight(now, size, held->work());
-        if (held->newly_broken()) {
+        schedule_.set_in_flight(now, size, connection->in_flight());
+        if (connection->take_disconnect()) {
             schedule_.disconnected(now, size);
             if (size != length_class::interactive) {
-                held.reset();
+                connection.reset();
             }
         }
     }
 }
 
-void sidecar_link::send_held(instant now)
+void sidecar_link::send_pending_calls(instant now)
 {
     // A call whose connection breaks after it was sent is `unknown` for ever; on a connection that showed
     // life a moment ago that is rare, and on any other it is not sent at all, so that "not run" is the truth.
-    auto& connection = *lanes_[index_of(length_class::interactive)];
-    if (held_.empty() || !schedule_.recently_alive(now, length_class::interactive) || !connection.ready()) {
+    auto& connection = *connections_[index_of(length_class::interactive)];
+    if (pending_calls_.empty() || !schedule_.recently_alive(now, length_class::interactive) ||
+        !connection.ready()) {
         return;
     }
-    for (auto& call : std::exchange(held_, {})) {
+    for (auto& call : std::exchange(pending_calls_, {})) {
         call.spec.remaining -= now - call.since;
         connection.call_service(call.key, call.operation, call.spec);
     }
-    schedule_.set_in_flight(now, length_class::interactive, connection.work());
+    schedule_.set_in_flight(now, length_class::interactive, connection.in_flight());
 }
 
-auto sidecar_link::drop_held(instant now) -> std::vector<attempt_key>
+auto sidecar_link::expire_pending_calls(instant now) -> std::vector<attempt_key>
 {
-    std::vector<attempt_key> out;
-    std::erase_if(held_, [&](const held_call& call) {
+    std::vector<attempt_key> expired;
+    std::erase_if(pending_calls_, [&](const pending_call& call) {
         const auto waited = now - call.since;
-        const bool late = waited > times_.silence_timeout() || waited >= call.spec.remaining;
-        if (late) {
-            out.push_back(call.key);
+        const bool is_expired = waited > times_.silence_timeout() || waited >= call.spec.remaining;
+        if (is_expired) {
+            expired.push_back(call.key);
         }
-        return late;
+        return is_expired;
     });
-    return out;
+    return expired;
 }
 
-auto sidecar_link::tick(instant now) -> link_news
+auto sidecar_link::tick(instant now) -> link_tick_result
 {
-    take_pulses(now);
-    link_news news;
-    news.not_sent = drop_held(now);
-    send_held(now);
+    update_schedule(now);
+    link_tick_result result;
+    result.unsent_calls = expire_pending_calls(now);
+    send_pending_calls(now);
     const auto due = schedule_.tick(now);
     for (const auto size : due.replace) {
-        open_lane(size);
+        open_connection(size);
     }
     for (const auto size : due.close) {
-        lanes_[index_of(size)].reset();
+        connections_[index_of(size)].reset();
     }
     for (const auto size : due.heartbeat) {
-        lanes_[index_of(size)]->send_heartbeat();
+        connections_[index_of(size)]->send_heartbeat();
     }
-    news.state = due.state;
-    news.replaced = !due.replace.empty() || !due.close.empty();
-    return news;
+    result.state = due.state;
+    result.connection_replaced = !due.replace.empty() || !due.close.empty();
+    return result;
 }
 
 } // namespace dragonflymill::gateway
--- a/src/gateway/sidecar_link.h
+++ b/src/gateway/sidecar_link.h
@@ -2,7 +2,7 @@
 
 #include "dragonflymill/bundle/bundle.h"
 #include "dragonflymill/serve/link_schedule.h"
-#include "gateway/lane_connection.h"
+#include "gateway/sidecar_connection.h"
 
 #include <array>
 #include <memory>
@@ -13,11 +13,11 @@
 namespace dragonflymill::gateway {
 
 /// What a look at a link led to.
-struct link_news
+struct link_tick_result
 {
-    std::optional<upstream_state> state; ///< The upstream's new state.
-    bool replaced = false;               ///< Whether a connection was given up because it was silent.
-    std::vector<attempt_key> not_sent;   ///< Service calls that no connection was proven alive for in time.
+    std::optional<upstream_state> state;   ///< The upstream's new state.
+    bool connection_replaced = false;      ///< Whether a connection was given up because it was silent.
+    std::vector<attempt_key> unsent_calls; ///< Service calls that no connection was proven alive for in time.
 };
 
 /// Everything between this gateway and one upstream's sidecar: a connection for each length class, opened
@@ -42,9 +42,9 @@
     template <typename Wanted>
     void call_share(instant now, const Wanted& wanted)
     {
-        auto& connection = lane(now, length_class::interactive);
+        auto& connection = connection_for(now, length_class::interactive);
         connection.call_share(wanted);
-        schedule_.set_in_flight(now, length_class::interactive, connection.work());
+        schedule_.set_in_flight(now, length_class::interactive, connection.in_flight());
     }
     /// Asks for a heartbeat, whose answer brings the upstream's load.
     void probe(instant now) { schedule_.request_heartbeat(now, length_class::interactive); }
@@ -56,11 +56,11 @@
     /// Something has come on one of the connections.
     void heard(instant now);
     /// Sends heartbeats that are due and gives up silent connections.
-    [[nodiscard]] auto tick(instant now) -> link_news;
+    [[nodiscard]] auto tick(instant now) -> link_tick_result;
 
 private:
     /// A service call whose connection is being proven.
-    struct held_call
+    struct pending_call
     {
         attempt_key key;
         service_operation operation = service_operation::run;
@@ -68,11 +68,11 @@
         instant since;
     };
 
-    void open_lane(length_class size);
-    [[nodiscard]] auto lane(instant now, length_class size) -> lane_connection&;
-    void take_pulses(instant now);
-    void send_held(instant now);
-    [[nodiscard]] auto drop_held(instant now) -> std::vector<attempt_key>;
+    void open_connection(length_class size);
+    [[nodiscard]] auto connection_for(instant now, length_class size) -> sidecar_connection&;
+    void update_schedule(instant now);
+    void send_pending_calls(instant now);
+    [[nodiscard]] auto expire_pending_calls(instant now) -> std::vector<attempt_key>;
 
     upstream_id upstream_;
     std::string address_;
@@ -80,9 +80,9 @@
     heartbeat_options times_;
     link_sink sink_;
     rpc::call_tracker& calls_;
-    std::array<std::unique_ptr<lane_connection>, length_class_count> lanes_;
+    std::array<std::unique_ptr<sidecar_connection>, length_class_count> connections_;
     link_schedule schedule_;
-    std::vector<held_call> held_;
+    std::vector<pending_call> pending_calls_;
 };
 
 } // namespace dragonflymill::gateway
--- a/src/rpc/call_tracker.cpp
+++ b/src/rpc/call_tracker.cpp
@@ -5,7 +5,7 @@
 void call_tracker::begin(grpc::ClientContext& context)
 {
     const std::lock_guard lock(mutex_);
-    under_way_.insert(&context);
+    in_flight_.insert(&context);
     if (cancelled_) {
         context.TryCancel();
     }
@@ -15,18 +15,18 @@
 {
     // Told under the lock: the waiter may destroy the tracker as soon as it sees that none is left.
     const std::lock_guard lock(mutex_);
-    under_way_.erase(&context);
-    none_left_.notify_all();
+    in_flight_.erase(&context);
+    none_in_flight_.notify_all();
 }
 
 void call_tracker::cancel_and_wait()
 {
     std::unique_lock lock(mutex_);
     cancelled_ = true;
-    for (auto* context : under_way_) {
+    for (auto* context : in_flight_) {
         context->TryCancel();
     }
-    none_left_.wait(lock, [this] { return under_way_.empty(); });
+    none_in_flight_.wait(lock, [this] { return in_flight_.empty(); });
 }
 
 } // namespace dragonflymill::rpc
--- a/src/rpc/call_tracker.h
+++ b/src/rpc/call_tracker.h
@@ -29,8 +29,8 @@
 
 private:
     std::mutex mutex_;
-    std::condition_variable none_left_;
-    std::set<grpc::ClientContext*> under_way_;
+    std::condition_variable none_in_flight_;
+    std::set<grpc::ClientContext*> in_flight_;
     bool cancelled_ = false;
 };
 
--- a/src/rpc/transport_lifetime.cpp
+++ b/src/rpc/transport_lifetime.cpp
@@ -13,9 +13,9 @@
 
 /// A channel to nowhere, with one call on it that has ended: a channel takes hold of the queue with its first
 /// call.
-struct queue_user
+struct permanent_queue_user
 {
-    queue_user()
+    permanent_queue_user()
     {
         // The deadline is past, so nothing is ever sent.
         context.set_deadline(std::chrono::system_clock::now() - std::chrono::seconds(1));
@@ -35,7 +35,7 @@
 void keep_transport_alive()
 {
     // NOLINTNEXTLINE(cppcoreguidelines-owning-memory): never deleted, see the header
-    static const auto* const user = new queue_user();
+    static const auto* const user = new permanent_queue_user();
     static_cast<void>(user);
 }
 
--- a/src/rpc/wire_convert.cpp
+++ b/src/rpc/wire_convert.cpp
@@ -11,7 +11,7 @@
 constexpr std::uint32_t last_length_class = length_class_count - 1;
 constexpr std::uint32_t last_priority = static_cast<std::uint32_t>(priority::overnight);
 
-auto not_negative(std::int64_t value) -> std::int64_t
+auto clamp_non_negative(std::int64_t value) -> std::int64_t
 {
     return std::max<std::int64_t>(value, 0);
 }
@@ -68,17 +68,17 @@
     spec.account = client_account_id(open.client_account());
     spec.size = static_cast<length_class>(std::min(open.length_class(), last_length_class));
     spec.request_priority = static_cast<priority>(std::min(open.priority(), last_priority));
-    spec.prompt_tokens = not_negative(open.prompt_tokens());
-    spec.max_tokens = not_negative(open.max_tokens());
-    spec.resume_offset = not_negative(open.resume_offset());
+    spec.prompt_tokens = clamp_non_negative(open.prompt_tokens());
+    spec.max_tokens = clamp_non_negative(open.max_tokens());
+    spec.resume_offset = clamp_non_negative(open.resume_offset());
     spec.remaining = duration(open.remaining_us());
-    spec.prefill = not_negative(open.predicted_prefill());
+    spec.prefill = clamp_non_negative(open.predicted_prefill());
     spec.share = lease_id(open.share());
     spec.exported_span = open.exported_span();
-    spec.span_begin = not_negative(open.span_begin());
+    spec.span_begin = clamp_non_negative(open.span_begin());
     spec.span_end = std::max(spec.span_begin, open.span_end());
     for (const auto& each : open.imports()) {
-        const auto begin = not_negative(each.begin());
+        const auto begin = clamp_non_negative(each.begin());
         spec.imports.push_back({each.span(), each.source(), begin, std::max(begin, each.end())});
     }
     return spec;
@@ -101,7 +101,7 @@
     const bool known = refused.code() <= last_refusal_code;
     why.code = known ? static_cast<refusal_code>(refused.code()) : refusal_code::internal;
     why.ran = refused.may_have_run() ? ran_state::unknown : ran_state::no;
-    why.retry_after = duration(not_negative(refused.retry_after_us()));
+    why.retry_after = duration(clamp_non_negative(refused.retry_after_us()));
     why.remedy = refused.remedy();
     return why;
 }
@@ -129,13 +129,13 @@
     const auto classes =
         std::min<std::size_t>(static_cast<std::size_t>(report.queued_prefill_size()), length_class_count);
     for (std::size_t i = 0; i < classes; ++i) {
-        load.queued_prefill[i] = not_negative(report.queued_prefill(static_cast<int>(i)));
+        load.queued_prefill[i] = clamp_non_negative(report.queued_prefill(static_cast<int>(i)));
     }
-    load.running = not_negative(report.running());
-    load.outstanding = not_negative(report.outstanding());
-    load.allowed = not_negative(report.allowed());
-    load.memory_used = not_negative(report.memory_used());
-    load.age = duration(not_negative(report.age_us()));
+    load.running = clamp_non_negative(report.running());
+    load.outstanding = clamp_non_negative(report.outstanding());
+    load.allowed = clamp_non_negative(report.allowed());
+    load.memory_used = clamp_non_negative(report.memory_used());
+    load.age = duration(clamp_non_negative(report.age_us()));
     load.start = incarnation(report.start());
     load.draining = report.draining();
     load.cold = report.cold();
@@ -208,14 +208,14 @@
 
 auto reservation_of(const wire::gang_share_request& request) -> reserve_share
 {
-    return {gang_of(request), upstream_id{}, not_negative(request.tokens()),
-            duration(not_negative(request.hold_us())), request.ask()};
+    return {gang_of(request), upstream_id{}, clamp_non_negative(request.tokens()),
+            duration(clamp_non_negative(request.hold_us())), request.ask()};
 }
 
 auto renewal_of(const wire::gang_share_request& request) -> renew_share
 {
     return {gang_of(request), upstream_id{}, lease_id(request.lease()),
-            duration(not_negative(request.hold_us())), request.ask()};
+            duration(clamp_non_negative(request.hold_us())), request.ask()};
 }
 
 } // namespace dragonflymill::rpc
