--- a/src/gateway/attempt_call.cpp
+++ b/src/gateway/attempt_call.cpp
@@ -16,15 +16,15 @@
 
 } // namespace
 
-auto attempt_call::open(wire::sidecar_gate::Stub& stub, const identity& who, content what,
+auto attempt_call::open(wire::sidecar_gate::Stub& stub, const identity& id, content data,
                         activity_ptr activity, link_sink sink, rpc::call_tracker& calls)
     -> std::shared_ptr<attempt_call>
 {
     std::shared_ptr<attempt_call> call(
-        new attempt_call(who, std::move(what.prompt), std::move(activity), std::move(sink), calls));
+        new attempt_call(id, std::move(data.prompt), std::move(activity), std::move(sink), calls));
     call->self_ = call;
-    call->context_.set_deadline(std::chrono::system_clock::now() + what.spec.remaining + deadline_slack);
-    *call->outgoing_.mutable_open() = rpc::to_wire(what.spec);
+    call->context_.set_deadline(std::chrono::system_clock::now() + data.spec.remaining + deadline_slack);
+    *call->outgoing_.mutable_open() = rpc::to_wire(data.spec);
     calls.begin(call->context_);
     stub.async()->attempt(&call->context_, call.get());
     call->AddHold();
@@ -34,9 +34,9 @@
     return call;
 }
 
-attempt_call::attempt_call(identity who, std::shared_ptr<const std::string> prompt, activity_ptr activity,
+attempt_call::attempt_call(identity id, std::shared_ptr<const std::string> prompt, activity_ptr activity,
                            link_sink sink, rpc::call_tracker& calls)
-    : who_(std::move(who))
+    : id_(std::move(id))
     , prompt_(std::move(prompt))
     , activity_(std::move(activity))
     , sink_(std::move(sink))
@@ -125,7 +125,7 @@
 void attempt_call::forward_event(const wire::attempt_event& event)
 {
     if (event.has_load()) {
-        sink_(gateway_event(gateway_input::load_reported{who_.upstream, rpc::from_wire(event.load())}));
+        sink_(gateway_event(gateway_input::load_reported{id_.upstream, rpc::from_wire(event.load())}));
     }
     {
         const std::lock_guard lock(mutex_);
@@ -135,20 +135,19 @@
         end_reported_ = event.has_refused() || event.has_finished();
     }
     if (event.has_granted()) {
-        sink_(gateway_event(gateway_input::attempt_granted{who_.key}));
+        sink_(gateway_event(gateway_input::attempt_granted{id_.key}));
     }
     else if (event.has_refused()) {
-        sink_(gateway_event(gateway_input::attempt_refused{who_.key, rpc::from_wire(event.refused())}));
+        sink_(gateway_event(gateway_input::attempt_refused{id_.key, rpc::from_wire(event.refused())}));
     }
     else if (event.has_tokens()) {
         const auto& tokens = event.tokens();
         sink_(gateway_event(gateway_input::attempt_tokens{
-            who_.key, tokens.offset(),
-            std::vector<std::string>(tokens.text().begin(), tokens.text().end())}));
+            id_.key, tokens.offset(), std::vector<std::string>(tokens.text().begin(), tokens.text().end())}));
     }
     else if (event.has_finished()) {
         sink_(gateway_event(gateway_input::attempt_finished{
-            who_.key, event.finished().tokens(), event.finished().reason(), event.finished().source()}));
+            id_.key, event.finished().tokens(), event.finished().reason(), event.finished().source()}));
     }
 }
 
@@ -163,7 +162,7 @@
         prompt_started = prompt_started_;
     }
     if (report_broken) {
-        sink_(gateway_event(gateway_input::attempt_broken{who_.key, prompt_started}));
+        sink_(gateway_event(gateway_input::attempt_broken{id_.key, prompt_started}));
     }
     const auto last = std::move(self_);
     calls_.end(context_);
--- a/src/gateway/attempt_call.h
+++ b/src/gateway/attempt_call.h
@@ -33,7 +33,7 @@
     };
 
     /// Opens the call and sends the specification.
-    static auto open(wire::sidecar_gate::Stub& stub, const identity& who, content what, activity_ptr activity,
+    static auto open(wire::sidecar_gate::Stub& stub, const identity& id, content data, activity_ptr activity,
                      link_sink sink, rpc::call_tracker& calls) -> std::shared_ptr<attempt_call>;
 
     /// Sends the prompt in chunks.
@@ -51,14 +51,14 @@
     void OnDone(const grpc::Status& status) override;
 
 private:
-    attempt_call(identity who, std::shared_ptr<const std::string> prompt, activity_ptr activity,
+    attempt_call(identity id, std::shared_ptr<const std::string> prompt, activity_ptr activity,
                  link_sink sink, rpc::call_tracker& calls);
 
     void forward_event(const wire::attempt_event& event);
     void write_chunk_locked();
     void release_locked();
 
-    identity who_;
+    identity id_;
     std::shared_ptr<const std::string> prompt_;
     activity_ptr activity_;
     link_sink sink_;
--- a/src/gateway/caller_admission.cpp
+++ b/src/gateway/caller_admission.cpp
@@ -35,20 +35,20 @@
 }
 
 /// Returns the error response to a completion that the bundle does not allow, or nothing if it is valid.
-auto reject_completion(const bundle& current, const completion_request& asked, const request_id& id)
+auto reject_completion(const bundle& current, const completion_request& body, const request_id& id)
     -> std::optional<http::http_response>
 {
-    const auto* model = find_model(current, asked.model);
+    const auto* model = find_model(current, body.model);
     if (model == nullptr) {
         return rejection(id, 404, "unknown_model", "name one of the models of GET /v1/models");
     }
     const bool adapter_known =
-        asked.adapter.empty() ||
-        std::count(model->adapters.begin(), model->adapters.end(), adapter_id(asked.adapter)) != 0;
+        body.adapter.empty() ||
+        std::count(model->adapters.begin(), model->adapters.end(), adapter_id(body.adapter)) != 0;
     if (!adapter_known) {
         return rejection(id, 404, "unknown_adapter", "name one of the model's adapters, see GET /v1/models");
     }
-    const auto tokens = estimate_tokens(asked.prompt.size());
+    const auto tokens = estimate_tokens(body.prompt.size());
     if (tokens > model->max_prompt_tokens) {
         return rejection(id, 413, "prompt_too_long",
                          "send at most " + std::to_string(model->max_prompt_tokens) +
@@ -91,7 +91,7 @@
 
 } // namespace
 
-auto number_of(const http::http_session& session) -> exchange_number
+auto exchange_number_of(const http::http_session& session) -> exchange_number
 {
     return exchange_number(session.exchange());
 }
@@ -211,34 +211,34 @@
                                          const session_ptr& session, const http::http_request& request,
                                          const request_id& id)
 {
-    auto read = read_completion_request(request.body);
-    if (!read) {
+    auto parsed = read_completion_request(request.body);
+    if (!parsed) {
         session->respond(
             session->exchange(),
-            rejection(id, 400, "invalid_request", read.error().message() + "; " + read.error().remedy()));
+            rejection(id, 400, "invalid_request", parsed.error().message() + "; " + parsed.error().remedy()));
         return;
     }
-    auto& asked = read.value();
-    if (auto rejected = reject_completion(current, asked, id)) {
+    auto& body = parsed.value();
+    if (auto rejected = reject_completion(current, body, id)) {
         session->respond(session->exchange(), std::move(*rejected));
         return;
     }
     gateway_input::completion_arrived event;
-    event.exchange = number_of(*session);
+    event.exchange = exchange_number_of(*session);
     event.request = id;
     event.account = account.id;
-    event.model = model_id(asked.model);
-    event.adapter = adapter_id(asked.adapter);
-    event.request_priority = asked.request_priority.value_or(account.request_priority);
-    event.prompt_tokens = estimate_tokens(asked.prompt.size());
-    event.max_tokens = asked.max_tokens;
-    event.blocks = prompt_blocks(asked.prompt, block_bytes);
-    event.time_limit = std::min(asked.time_limit.value_or(options_.max_time_limit), options_.max_time_limit);
+    event.model = model_id(body.model);
+    event.adapter = adapter_id(body.adapter);
+    event.request_priority = body.request_priority.value_or(account.request_priority);
+    event.prompt_tokens = estimate_tokens(body.prompt.size());
+    event.max_tokens = body.max_tokens;
+    event.blocks = prompt_blocks(body.prompt, block_bytes);
+    event.time_limit = std::min(body.time_limit.value_or(options_.max_time_limit), options_.max_time_limit);
     exchange pending;
-    pending.model = asked.model;
-    pending.stream = asked.stream;
+    pending.model = body.model;
+    pending.stream = body.stream;
     pending.prompt_tokens = event.prompt_tokens;
-    pending.prompt = std::make_shared<const std::string>(std::move(asked.prompt));
+    pending.prompt = std::make_shared<const std::string>(std::move(body.prompt));
     pending.request = id;
     submit(session, {std::move(pending), std::move(event)});
 }
@@ -255,7 +255,7 @@
         return;
     }
     gateway_input::service_arrived event;
-    event.exchange = number_of(*session);
+    event.exchange = exchange_number_of(*session);
     event.operation = operation_of(request.method, path.rest);
     event.spec.request = id;
     event.spec.route = route->id;
--- a/src/gateway/caller_admission.h
+++ b/src/gateway/caller_admission.h
@@ -75,6 +75,6 @@
 };
 
 /// Returns the core's number for the session's current exchange.
-[[nodiscard]] auto number_of(const http::http_session& session) -> exchange_number;
+[[nodiscard]] auto exchange_number_of(const http::http_session& session) -> exchange_number;
 
 } // namespace dragonflymill::gateway
--- a/src/gateway/completion_request.cpp
+++ b/src/gateway/completion_request.cpp
@@ -180,12 +180,13 @@
         return reject_type("a number");
     }
 
-    auto reject_type(const char* what) -> bool
+    auto reject_type(const char* type) -> bool
     {
-        const bool known = key_ == "model" || key_ == "prompt" || key_ == "adapter" || key_ == "priority" ||
-                           key_ == "max_tokens" || key_ == "timeout_ms" || key_ == "stream";
-        if (depth_ == 1 && known) {
-            errors += key_ + " must not be " + what + "; ";
+        const bool is_known = key_ == "model" || key_ == "prompt" || key_ == "adapter" ||
+                              key_ == "priority" || key_ == "max_tokens" || key_ == "timeout_ms" ||
+                              key_ == "stream";
+        if (depth_ == 1 && is_known) {
+            errors += key_ + " must not be " + type + "; ";
         }
         return true;
     }
@@ -208,11 +209,12 @@
 {
     json::basic_parser<field_reader> parser(json::parse_options{});
     json::error_code failure;
-    const auto read = parser.write_some(false, body.data(), body.size(), failure);
+    const auto parsed_bytes = parser.write_some(false, body.data(), body.size(), failure);
     if (failure) {
-        return invalid("the body is not JSON: " + failure.message() + " at byte " + std::to_string(read));
+        return invalid("the body is not JSON: " + failure.message() + " at byte " +
+                       std::to_string(parsed_bytes));
     }
-    if (body.find_first_not_of(" \t\r\n", read) != std::string::npos) {
+    if (body.find_first_not_of(" \t\r\n", parsed_bytes) != std::string::npos) {
         return invalid("the body goes on behind its JSON value");
     }
     auto& reader = parser.handler();
--- a/src/gateway/gateway_log.cpp
+++ b/src/gateway/gateway_log.cpp
@@ -12,8 +12,8 @@
     if (spec.attempt <= attempt_number(1)) {
         return;
     }
-    const auto what = spec.resume_offset > 0 ? event::request_resumed : event::request_retried;
-    log_event(what, field("request", spec.request), field("upstream", opened.upstream),
+    const auto kind = spec.resume_offset > 0 ? event::request_resumed : event::request_retried;
+    log_event(kind, field("request", spec.request), field("upstream", opened.upstream),
               field("attempt", spec.attempt), field("from_token", spec.resume_offset));
 }
 
@@ -29,8 +29,8 @@
         log_event(event::request_accepted, field("request", service->spec.request),
                   field("account", service->spec.account), field("route", service->spec.route));
     }
-    else if (const auto* left = std::get_if<gateway_input::caller_left>(&input)) {
-        log_event(event::caller_left, field("request", request_text(left->exchange)));
+    else if (const auto* disconnected = std::get_if<gateway_input::caller_left>(&input)) {
+        log_event(event::caller_left, field("request", request_text(disconnected->exchange)));
     }
 }
 
--- a/src/gateway/gateway_server.cpp
+++ b/src/gateway/gateway_server.cpp
@@ -297,7 +297,7 @@
 void gateway_server::execute(const gateway_action& action)
 {
     log_.log(action);
-    std::visit([this](const auto& what) { execute_action(what); }, action);
+    std::visit([this](const auto& each) { execute_action(each); }, action);
 }
 
 void gateway_server::enqueue_follow_up(gateway_event event)
@@ -464,12 +464,12 @@
     }
 }
 
-template <typename Wanted>
-void gateway_server::call_share(const Wanted& wanted)
+template <typename ShareRequest>
+void gateway_server::call_share(const ShareRequest& request)
 {
-    const auto link = links_.find(wanted.upstream);
+    const auto link = links_.find(request.upstream);
     if (link != links_.end()) {
-        link->second->call_share(runtime::now(), wanted);
+        link->second->call_share(runtime::now(), request);
     }
 }
 
--- a/src/gateway/gateway_server.h
+++ b/src/gateway/gateway_server.h
@@ -107,8 +107,8 @@
     void execute_action(const gateway_output::log_resumed& action);
     void execute_action(const gateway_output::all_done& action);
 
-    template <typename Wanted>
-    void call_share(const Wanted& wanted);
+    template <typename ShareRequest>
+    void call_share(const ShareRequest& request);
     void enqueue_follow_up(gateway_event event);
     void respond(exchange_number number, http::http_response response);
     void count_first_token(const exchange& pending);
--- a/src/gateway/heartbeat_call.cpp
+++ b/src/gateway/heartbeat_call.cpp
@@ -6,11 +6,11 @@
 
 namespace dragonflymill::gateway {
 
-auto heartbeat_call::open(wire::sidecar_gate::Stub& stub, identity who, activity_ptr activity, link_sink sink,
+auto heartbeat_call::open(wire::sidecar_gate::Stub& stub, identity id, activity_ptr activity, link_sink sink,
                           rpc::call_tracker& calls) -> std::shared_ptr<heartbeat_call>
 {
     std::shared_ptr<heartbeat_call> call(
-        new heartbeat_call(std::move(who), std::move(activity), std::move(sink), calls));
+        new heartbeat_call(std::move(id), std::move(activity), std::move(sink), calls));
     call->self_ = call;
     calls.begin(call->context_);
     stub.async()->heartbeat(&call->context_, call.get());
@@ -20,8 +20,8 @@
     return call;
 }
 
-heartbeat_call::heartbeat_call(identity who, activity_ptr activity, link_sink sink, rpc::call_tracker& calls)
-    : who_(std::move(who))
+heartbeat_call::heartbeat_call(identity id, activity_ptr activity, link_sink sink, rpc::call_tracker& calls)
+    : id_(std::move(id))
     , activity_(std::move(activity))
     , sink_(std::move(sink))
     , calls_(calls)
@@ -35,7 +35,7 @@
         return;
     }
     outgoing_.set_number(number);
-    outgoing_.set_sender(who_.gateway.text());
+    outgoing_.set_sender(id_.gateway.text());
     writing_ = true;
     StartWrite(&outgoing_);
 }
@@ -62,7 +62,7 @@
         return;
     }
     activity_->record_receive();
-    sink_(heartbeat_answered{who_.upstream, rpc::from_wire(incoming_.load())});
+    sink_(heartbeat_answered{id_.upstream, rpc::from_wire(incoming_.load())});
     StartRead(&incoming_);
 }
 
--- a/src/gateway/heartbeat_call.h
+++ b/src/gateway/heartbeat_call.h
@@ -25,7 +25,7 @@
     };
 
     /// Opens the stream.
-    static auto open(wire::sidecar_gate::Stub& stub, identity who, activity_ptr activity, link_sink sink,
+    static auto open(wire::sidecar_gate::Stub& stub, identity id, activity_ptr activity, link_sink sink,
                      rpc::call_tracker& calls) -> std::shared_ptr<heartbeat_call>;
 
     /// Sends a heartbeat, unless the previous one is still being written.
@@ -40,10 +40,10 @@
     void OnDone(const grpc::Status& status) override;
 
 private:
-    heartbeat_call(identity who, activity_ptr activity, link_sink sink, rpc::call_tracker& calls);
+    heartbeat_call(identity id, activity_ptr activity, link_sink sink, rpc::call_tracker& calls);
     void release_locked();
 
-    identity who_;
+    identity id_;
     activity_ptr activity_;
     link_sink sink_;
     rpc::call_tracker& calls_;
--- a/src/gateway/http_responses.cpp
+++ b/src/gateway/http_responses.cpp
@@ -12,18 +12,19 @@
 
 namespace {
 
-auto with_id(const request_id& request, unsigned status, const json::object& body) -> http::http_response
+auto json_response(const request_id& request, unsigned status, const json::object& body)
+    -> http::http_response
 {
     return {status, "application/json", {{"X-Request-Id", request.text()}}, json::serialize(body) + "\n"};
 }
 
-auto choice(const std::string& text, const std::string& finish_reason) -> json::object
+auto choice_object(const std::string& text, const std::string& finish_reason) -> json::object
 {
-    json::object made;
-    made["index"] = 0;
-    made["text"] = text;
-    made["finish_reason"] = finish_reason.empty() ? json::value(nullptr) : json::value(finish_reason);
-    return made;
+    json::object object;
+    object["index"] = 0;
+    object["text"] = text;
+    object["finish_reason"] = finish_reason.empty() ? json::value(nullptr) : json::value(finish_reason);
+    return object;
 }
 
 auto completion_object(const request_id& request, const std::string& model, const std::string& text,
@@ -33,7 +34,7 @@
     body["id"] = request.text();
     body["object"] = "text_completion";
     body["model"] = model;
-    body["choices"] = json::array{choice(text, finish_reason)};
+    body["choices"] = json::array{choice_object(text, finish_reason)};
     return body;
 }
 
@@ -88,7 +89,7 @@
 
 auto refusal_response(const request_id& request, const refusal& why) -> http::http_response
 {
-    auto response = with_id(request, status_of(why.code), refusal_object(request, why));
+    auto response = json_response(request, status_of(why.code), refusal_object(request, why));
     if (why.retry_after > duration::zero()) {
         const auto seconds = std::chrono::ceil<std::chrono::seconds>(why.retry_after).count();
         response.fields.push_back({"Retry-After", std::to_string(seconds)});
@@ -99,7 +100,8 @@
 auto rejection(const request_id& request, unsigned status, const std::string& code, const std::string& remedy)
     -> http::http_response
 {
-    return with_id(request, status, error_object(request, code, ran_state::no, duration::zero(), remedy));
+    return json_response(request, status,
+                         error_object(request, code, ran_state::no, duration::zero(), remedy));
 }
 
 auto completion_chunk(const request_id& request, const std::string& model, const std::string& text,
@@ -118,7 +120,7 @@
     usage["completion_tokens"] = completion_tokens;
     usage["total_tokens"] = prompt_tokens + completion_tokens;
     body["usage"] = std::move(usage);
-    return with_id(request, 200, body);
+    return json_response(request, 200, body);
 }
 
 auto models_response(const request_id& request, const std::vector<model_entry>& models) -> http::http_response
@@ -139,7 +141,7 @@
     json::object body;
     body["object"] = "list";
     body["data"] = std::move(list);
-    return with_id(request, 200, body);
+    return json_response(request, 200, body);
 }
 
 auto service_response(const request_id& request, const once_answer& answer, bool replayed)
@@ -163,14 +165,14 @@
 {
     json::object body;
     body["ticket"] = ticket;
-    return with_id(request, 200, body);
+    return json_response(request, 200, body);
 }
 
 auto running_response(const request_id& request) -> http::http_response
 {
     json::object body;
     body["state"] = "running";
-    return with_id(request, 200, body);
+    return json_response(request, 200, body);
 }
 
 } // namespace dragonflymill::gateway
--- a/src/gateway/sidecar_connection.cpp
+++ b/src/gateway/sidecar_connection.cpp
@@ -53,7 +53,7 @@
                                            "ask for its status with the same ticket or key"}};
 }
 
-auto service_event(const attempt_key& key, const grpc::Status& status, const wire::service_reply& reply)
+auto service_reply_event(const attempt_key& key, const grpc::Status& status, const wire::service_reply& reply)
     -> gateway_event
 {
     if (!status.ok()) {
@@ -70,7 +70,7 @@
         reply.replayed()};
 }
 
-auto share_event(const gang_key& gang, const upstream_id& upstream, const wire::gang_share_reply& reply)
+auto share_reply_event(const gang_key& gang, const upstream_id& upstream, const wire::gang_share_reply& reply)
     -> gateway_event
 {
     if (reply.has_refused()) {
@@ -80,7 +80,7 @@
     return share_granted{gang, upstream, lease_id(reply.lease()), reply.ask()};
 }
 
-auto ticket_event(const attempt_key& key, const grpc::Status& status, const wire::ticket_reply& reply)
+auto ticket_reply_event(const attempt_key& key, const grpc::Status& status, const wire::ticket_reply& reply)
     -> gateway_event
 {
     if (!status.ok()) {
@@ -94,15 +94,15 @@
 
 } // namespace
 
-sidecar_connection::sidecar_connection(const std::string& address, heartbeat_call::identity who,
+sidecar_connection::sidecar_connection(const std::string& address, heartbeat_call::identity id,
                                        link_sink sink, rpc::call_tracker& calls)
-    : who_(std::move(who))
+    : id_(std::move(id))
     , sink_(std::move(sink))
     , calls_(calls)
     , channel_(make_channel(address))
     , stub_(wire::sidecar_gate::NewStub(channel_))
     , activity_(std::make_shared<connection_activity>())
-    , heartbeat_(heartbeat_call::open(*stub_, who_, activity_, sink_, calls_))
+    , heartbeat_(heartbeat_call::open(*stub_, id_, activity_, sink_, calls_))
     , unary_calls_(std::make_shared<std::atomic<std::size_t>>(0))
 {
 }
@@ -120,8 +120,8 @@
 void sidecar_connection::open_attempt(const attempt_key& key, const attempt_spec& spec,
                                       std::shared_ptr<const std::string> prompt)
 {
-    attempts_.insert_or_assign(key, attempt_call::open(*stub_, {who_.upstream, key},
-                                                       {spec, std::move(prompt)}, activity_, sink_, calls_));
+    attempts_.insert_or_assign(key, attempt_call::open(*stub_, {id_.upstream, key}, {spec, std::move(prompt)},
+                                                       activity_, sink_, calls_));
 }
 
 void sidecar_connection::send_prompt(const attempt_key& key)
@@ -164,7 +164,7 @@
         begin(pending);
         stub_->async()->issue_ticket(&pending->context, &pending->request, &pending->reply,
                                      [pending, key, sink = sink_, end](const grpc::Status& status) {
-                                         sink(ticket_event(key, status, pending->reply));
+                                         sink(ticket_reply_event(key, status, pending->reply));
                                          end(status, pending->context);
                                      });
         return;
@@ -172,7 +172,7 @@
     const auto pending = std::make_shared<unary_call<wire::service_reply>>();
     begin(pending);
     const auto done = [pending, key, sink = sink_, end](const grpc::Status& status) {
-        sink(service_event(key, status, pending->reply));
+        sink(service_reply_event(key, status, pending->reply));
         end(status, pending->context);
     };
     if (operation == service_operation::status) {
@@ -192,7 +192,7 @@
     ++*unary_calls_;
     calls_.begin(pending->context);
     method(*stub_->async(), &pending->context, &pending->request, &pending->reply,
-           [pending, answer, upstream = who_.upstream, sink = sink_, activity = activity_,
+           [pending, answer, upstream = id_.upstream, sink = sink_, activity = activity_,
             unary_calls = unary_calls_, &calls = calls_](const grpc::Status& status) {
                const auto& reply = pending->reply;
                if (status.ok() && reply.has_load()) {
@@ -208,32 +208,32 @@
            });
 }
 
-void sidecar_connection::call_share(const reserve_share& wanted)
+void sidecar_connection::call_share(const reserve_share& request)
 {
     start_share_call(
-        rpc::to_wire(who_.gateway, wanted),
+        rpc::to_wire(id_.gateway, request),
         [](auto& stub, auto... arguments) { stub.reserve_share(arguments...); },
-        [gang = wanted.gang](const link_sink& sink, const upstream_id& upstream, const auto& reply) {
-            sink(share_event(gang, upstream, reply));
+        [gang = request.gang](const link_sink& sink, const upstream_id& upstream, const auto& reply) {
+            sink(share_reply_event(gang, upstream, reply));
         });
 }
 
-void sidecar_connection::call_share(const renew_share& wanted)
+void sidecar_connection::call_share(const renew_share& request)
 {
     start_share_call(
-        rpc::to_wire(who_.gateway, wanted),
+        rpc::to_wire(id_.gateway, request),
         [](auto& stub, auto... arguments) { stub.renew_share(arguments...); },
-        [gang = wanted.gang](const link_sink& sink, const upstream_id& upstream, const auto& reply) {
-            sink(share_event(gang, upstream, reply));
+        [gang = request.gang](const link_sink& sink, const upstream_id& upstream, const auto& reply) {
+            sink(share_reply_event(gang, upstream, reply));
         });
 }
 
-void sidecar_connection::call_share(const release_share& wanted)
+void sidecar_connection::call_share(const release_share& request)
 {
     start_share_call(
-        rpc::to_wire(who_.gateway, wanted),
+        rpc::to_wire(id_.gateway, request),
         [](auto& stub, auto... arguments) { stub.release_share(arguments...); },
-        [gang = wanted.gang](const link_sink& sink, const upstream_id& upstream, const auto& reply) {
+        [gang = request.gang](const link_sink& sink, const upstream_id& upstream, const auto& reply) {
             if (!reply.has_refused()) {
                 sink(gateway_event(share_released{gang, upstream}));
             }
@@ -243,25 +243,25 @@
 void sidecar_connection::send_heartbeat()
 {
     if (heartbeat_->is_done()) {
-        heartbeat_ = heartbeat_call::open(*stub_, who_, activity_, sink_, calls_);
-        disconnect_taken_ = false;
+        heartbeat_ = heartbeat_call::open(*stub_, id_, activity_, sink_, calls_);
+        disconnect_reported_ = false;
     }
     heartbeat_->send(++last_heartbeat_);
 }
 
-auto sidecar_connection::take_received_at() -> std::optional<instant>
+auto sidecar_connection::poll_received_at() -> std::optional<instant>
 {
     const auto last = activity_->last_received_at();
-    if (last == taken_received_at_) {
+    if (last == polled_received_at_) {
         return std::nullopt;
     }
-    taken_received_at_ = last;
+    polled_received_at_ = last;
     return last;
 }
 
-auto sidecar_connection::take_disconnect() -> bool
+auto sidecar_connection::poll_disconnect() -> bool
 {
-    return heartbeat_->is_done() && !std::exchange(disconnect_taken_, true);
+    return heartbeat_->is_done() && !std::exchange(disconnect_reported_, true);
 }
 
 auto sidecar_connection::ready() const -> bool
--- a/src/gateway/sidecar_link.cpp
+++ b/src/gateway/sidecar_link.cpp
@@ -78,11 +78,11 @@
         if (!connection) {
             continue;
         }
-        if (const auto at = connection->take_received_at()) {
+        if (const auto at = connection->poll_received_at()) {
             schedule_.received(*at, size);
         }
         schedule_.set_in_flight(now, size, connection->in_flight());
-        if (connection->take_disconnect()) {
+        if (connection->poll_disconnect()) {
             schedule_.disconnected(now, size);
             if (size != length_class::interactive) {
                 connection.reset();
--- a/src/gateway/sidecar_link.h
+++ b/src/gateway/sidecar_link.h
@@ -40,11 +40,11 @@
     void call_service(instant now, const attempt_key& key, service_operation operation,
                       const service_spec& spec);
     /// Reserves, renews or releases a share.
-    template <typename Wanted>
-    void call_share(instant now, const Wanted& wanted)
+    template <typename ShareRequest>
+    void call_share(instant now, const ShareRequest& request)
     {
         auto& connection = connection_for(now, length_class::interactive);
-        connection.call_share(wanted);
+        connection.call_share(request);
         schedule_.set_in_flight(now, length_class::interactive, connection.in_flight());
     }
     /// Requests a heartbeat, whose reply reports the upstream's load.
--- a/src/rpc/wire_convert.cpp
+++ b/src/rpc/wire_convert.cpp
@@ -178,27 +178,27 @@
     return spec;
 }
 
-auto to_wire(const process_id& gateway, const reserve_share& wanted) -> wire::gang_share_request
+auto to_wire(const process_id& gateway, const reserve_share& share) -> wire::gang_share_request
 {
-    auto request = share_request(gateway, wanted.gang);
-    request.set_tokens(wanted.tokens);
-    request.set_hold_us(wanted.hold.count());
-    request.set_ask(wanted.ask);
+    auto request = share_request(gateway, share.gang);
+    request.set_tokens(share.tokens);
+    request.set_hold_us(share.hold.count());
+    request.set_ask(share.ask);
     return request;
 }
 
-auto to_wire(const process_id& gateway, const renew_share& wanted) -> wire::gang_share_request
+auto to_wire(const process_id& gateway, const renew_share& share) -> wire::gang_share_request
 {
-    auto request = share_request(gateway, wanted.gang);
-    request.set_hold_us(wanted.hold.count());
-    request.set_ask(wanted.ask);
-    request.set_lease(wanted.lease.value());
+    auto request = share_request(gateway, share.gang);
+    request.set_hold_us(share.hold.count());
+    request.set_ask(share.ask);
+    request.set_lease(share.lease.value());
     return request;
 }
 
-auto to_wire(const process_id& gateway, const release_share& wanted) -> wire::gang_share_request
+auto to_wire(const process_id& gateway, const release_share& share) -> wire::gang_share_request
 {
-    return share_request(gateway, wanted.gang);
+    return share_request(gateway, share.gang);
 }
 
 auto gang_of(const wire::gang_share_request& request) -> gang_key
--- a/src/rpc/wire_convert.h
+++ b/src/rpc/wire_convert.h
@@ -26,13 +26,11 @@
 /// Converts a service call from its wire form; moves its strings instead of copying them.
 [[nodiscard]] auto from_wire(wire::service_call call) -> service_spec;
 /// Converts a reservation by `gateway` to its wire form.
-[[nodiscard]] auto to_wire(const process_id& gateway, const reserve_share& wanted)
-    -> wire::gang_share_request;
+[[nodiscard]] auto to_wire(const process_id& gateway, const reserve_share& share) -> wire::gang_share_request;
 /// Converts a renewal by `gateway` to its wire form.
-[[nodiscard]] auto to_wire(const process_id& gateway, const renew_share& wanted) -> wire::gang_share_request;
+[[nodiscard]] auto to_wire(const process_id& gateway, const renew_share& share) -> wire::gang_share_request;
 /// Converts a release by `gateway` to its wire form.
-[[nodiscard]] auto to_wire(const process_id& gateway, const release_share& wanted)
-    -> wire::gang_share_request;
+[[nodiscard]] auto to_wire(const process_id& gateway, const release_share& share) -> wire::gang_share_request;
 /// Returns the gang and round that a share request is for.
 [[nodiscard]] auto gang_of(const wire::gang_share_request& request) -> gang_key;
 /// Converts a reservation from its wire form. Its upstream is empty, as the receiving sidecar is the one
