--- a/src/gateway/attempt_call.h
+++ b/src/gateway/attempt_call.h
@@ -69,7 +69,7 @@
     wire::attempt_event incoming_;
     mutable std::mutex mutex_;
     std::size_t prompt_sent_ = 0;
-    bool writing_ = true; // the opening message is being written
+    bool writing_ = true; // initially true: the opening message is being written
     bool prompt_requested_ = false;
     bool prompt_started_ = false;
     bool has_hold_ = true;      // OnDone is not called before the hold is removed
--- a/src/gateway/gateway_daemon.cpp
+++ b/src/gateway/gateway_daemon.cpp
@@ -51,7 +51,7 @@
         , timeline_(std::move(timeline))
         , gateway_server_(settings, std::move(ticket_key), timeline_, metrics_,
                           {[this] { boost::asio::post(context_, [this] { on_all_done(); }); },
-                           [this](const ask_shares& asked) { request_account_shares(asked); }})
+                           [this](const ask_shares& request) { request_account_shares(request); }})
         , admission_(
               {settings.process.name,
                static_cast<std::uint64_t>(runtime::wall_now().time_since_epoch().count()),
@@ -75,7 +75,7 @@
 private:
     [[nodiscard]] auto open_control() -> result<void>;
     void on_snapshot(const control::control_snapshot& snapshot);
-    void request_account_shares(const ask_shares& asked);
+    void request_account_shares(const ask_shares& request);
     void on_stop_signal();
     void stop_accepting();
     void on_all_done();
@@ -132,10 +132,10 @@
     admission_.set_bundle(snapshot.in_force);
 }
 
-void gateway_daemon::request_account_shares(const ask_shares& asked)
+void gateway_daemon::request_account_shares(const ask_shares& request)
 {
-    control_->request_shares(asked, [this, at = asked.asked](std::vector<share_grant> grants) {
-        gateway_server_.shares_granted(std::move(grants), at);
+    control_->request_shares(request, [this, requested_at = request.asked](std::vector<share_grant> grants) {
+        gateway_server_.shares_granted(std::move(grants), requested_at);
     });
 }
 
--- a/src/gateway/gateway_server.cpp
+++ b/src/gateway/gateway_server.cpp
@@ -112,16 +112,16 @@
 {
     const auto answer = std::make_shared<std::promise<std::vector<share_grant>>>();
     auto future = answer->get_future();
-    const bool asked = core_thread_.post(grant_query{requests, answer});
-    if (asked && future.wait_for(grant_timeout) == std::future_status::ready) {
+    const bool queued = core_thread_.post(grant_query{requests, answer});
+    if (queued && future.wait_for(grant_timeout) == std::future_status::ready) {
         return future.get();
     }
     return {}; // without grants the other gateway keeps using equal shares
 }
 
-void gateway_server::shares_granted(std::vector<share_grant> grants, instant asked)
+void gateway_server::shares_granted(std::vector<share_grant> grants, instant requested_at)
 {
-    post(gateway_event(gateway_input::shares_granted{std::move(grants), asked}));
+    post(gateway_event(gateway_input::shares_granted{std::move(grants), requested_at}));
 }
 
 auto gateway_server::submit(accepted_request accepted) -> bool
@@ -302,7 +302,8 @@
 
 void gateway_server::enqueue_follow_up(gateway_event event)
 {
-    // Bypasses the ring: this thread is its only consumer and would deadlock if it waited for free capacity.
+    // Bypasses the event ring: this thread is its only consumer and would deadlock if it waited for free
+    // capacity.
     follow_ups_.push_back(std::move(event));
 }
 
--- a/src/gateway/gateway_server.h
+++ b/src/gateway/gateway_server.h
@@ -47,8 +47,8 @@
     /// Grants another gateway shares of accounts that this gateway owns. Waits for the core thread for at
     /// most 200 ms; returns no grants after a timeout or if the queue is full.
     [[nodiscard]] auto grant_shares(const std::vector<share_request>& requests) -> std::vector<share_grant>;
-    /// Applies shares granted by the owner of some accounts; they were requested at `asked`.
-    void shares_granted(std::vector<share_grant> grants, instant asked);
+    /// Applies shares granted by the owner of some accounts; they were requested at `requested_at`.
+    void shares_granted(std::vector<share_grant> grants, instant requested_at);
     /// Queues a request for the core; returns false if the queue is full.
     [[nodiscard]] auto submit(accepted_request accepted) -> bool;
     /// Reports that the caller of `exchange` disconnected.
