--- a/src/gateway/heartbeat_call.h
+++ b/src/gateway/heartbeat_call.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "gate.grpc.pb.h"
-#include "gateway/connection_pulse.h"
+#include "gateway/connection_activity.h"
 #include "gateway/link_event.h"
 #include "rpc/call_tracker.h"
 
@@ -13,48 +13,48 @@
 
 namespace dragonflymill::gateway {
 
-/// The gateway's end of one connection's heartbeats.
+/// Client side of the heartbeat stream of one connection.
 class heartbeat_call final : public grpc::ClientBidiReactor<wire::heartbeat_ping, wire::heartbeat_pong>
 {
 public:
-    /// What every answer is handed on with.
+    /// Identifies the two ends of the connection.
     struct identity
     {
-        upstream_id upstream; ///< The upstream.
-        process_id gateway;   ///< Who sends.
+        upstream_id upstream; ///< Upstream whose load the replies report.
+        process_id gateway;   ///< Sender of the heartbeats.
     };
 
-    /// Opens the call.
-    static auto open(wire::sidecar_gate::Stub& stub, identity who, pulse_ptr pulse, link_sink sink,
+    /// Opens the stream.
+    static auto open(wire::sidecar_gate::Stub& stub, identity id, activity_ptr activity, link_sink sink,
                      rpc::call_tracker& calls) -> std::shared_ptr<heartbeat_call>;
 
-    /// Sends a heartbeat, unless the last one is still being written.
+    /// Sends a heartbeat, unless the previous one is still being written.
     void send(std::uint64_t number);
-    /// Ends the call.
+    /// Cancels the stream.
     void cancel();
-    /// Whether it is over: the connection broke.
-    [[nodiscard]] auto over() const -> bool { return over_; }
+    /// Returns whether the stream has ended, which means that the connection broke.
+    [[nodiscard]] auto is_done() const -> bool { return done_; }
 
     void OnReadDone(bool ok) override;
     void OnWriteDone(bool ok) override;
     void OnDone(const grpc::Status& status) override;
 
 private:
-    heartbeat_call(identity who, pulse_ptr pulse, link_sink sink, rpc::call_tracker& calls);
+    heartbeat_call(identity id, activity_ptr activity, link_sink sink, rpc::call_tracker& calls);
     void release_locked();
 
-    identity who_;
-    pulse_ptr pulse_;
+    identity id_;
+    activity_ptr activity_;
     link_sink sink_;
     rpc::call_tracker& calls_;
-    std::shared_ptr<heartbeat_call> self_; // keeps it alive until OnDone
+    std::shared_ptr<heartbeat_call> self_; // keeps the reactor alive until OnDone
     grpc::ClientContext context_;
     wire::heartbeat_ping outgoing_;
     wire::heartbeat_pong incoming_;
     std::mutex mutex_;
     bool writing_ = false;
-    bool held_ = true; // the transport waits for us before it calls OnDone
-    std::atomic<bool> over_{false};
+    bool has_hold_ = true; // OnDone is not called before the hold is removed
+    std::atomic<bool> done_{false};
 };
 
 } // namespace dragonflymill::gateway
--- a/src/gateway/sidecar_link.h
+++ b/src/gateway/sidecar_link.h
@@ -2,7 +2,7 @@
 
 #include "dragonflymill/bundle/bundle.h"
 #include "dragonflymill/serve/link_schedule.h"
-#include "gateway/lane_connection.h"
+#include "gateway/sidecar_connection.h"
 
 #include <array>
 #include <memory>
@@ -12,55 +12,56 @@
 
 namespace dragonflymill::gateway {
 
-/// What a look at a link led to.
-struct link_news
+/// Result of `sidecar_link::tick`.
+struct link_tick_result
 {
-    std::optional<upstream_state> state; ///< The upstream's new state.
-    bool replaced = false;               ///< Whether a connection was given up because it was silent.
-    std::vector<attempt_key> not_sent;   ///< Service calls that no connection was proven alive for in time.
+    std::optional<upstream_state> state; ///< New state of the upstream, if it changed.
+    bool connection_replaced = false;    ///< Whether a silent connection was closed.
+    std::vector<attempt_key>
+        unsent_calls; ///< Service calls that timed out before the connection was proven alive.
 };
 
-/// Everything between this gateway and one upstream's sidecar: a connection for each length class, opened
-/// when first needed. Used by the deciding thread alone.
+/// The connections between this gateway and one upstream's sidecar: one per length class, opened at its first
+/// use. Used only by the core thread.
 class sidecar_link
 {
 public:
-    /// Connects to the sidecar of `upstream`.
+    /// Opens the connection for interactive requests to the sidecar of `upstream`.
     sidecar_link(instant now, const upstream_entry& upstream, process_id self, heartbeat_options times,
                  link_sink sink, rpc::call_tracker& calls);
 
-    /// Address that it connects to.
+    /// Returns the address of the sidecar.
     [[nodiscard]] auto address() const -> const std::string& { return address_; }
-    /// Opens a try on the connection of its class.
+    /// Opens an attempt on the connection of its length class.
     void open_attempt(instant now, const attempt_key& key, const attempt_spec& spec,
                       std::shared_ptr<const std::string> prompt);
-    /// Calls the plain service, once the connection is proven alive; if that takes too long, nothing is sent
-    /// and `tick` says so.
+    /// Calls the service once the connection is proven alive. If that takes longer than the silence timeout
+    /// or the call's time limit, nothing is sent and `tick` returns the call in `unsent_calls`.
     void call_service(instant now, const attempt_key& key, service_operation operation,
                       const service_spec& spec);
-    /// Asks for, renews or gives back a share.
-    template <typename Wanted>
-    void call_share(instant now, const Wanted& wanted)
+    /// Reserves, renews or releases a share.
+    template <typename ShareRequest>
+    void call_share(instant now, const ShareRequest& request)
     {
-        auto& connection = lane(now, length_class::interactive);
-        connection.call_share(wanted);
-        schedule_.set_in_flight(now, length_class::interactive, connection.work());
+        auto& connection = connection_for(now, length_class::interactive);
+        connection.call_share(request);
+        schedule_.set_in_flight(now, length_class::interactive, connection.in_flight());
     }
-    /// Asks for a heartbeat, whose answer brings the upstream's load.
+    /// Requests a heartbeat, whose reply reports the upstream's load.
     void probe(instant now) { schedule_.request_heartbeat(now, length_class::interactive); }
-    /// Hands a try's prompt or cancel to the connection it was opened on.
+    /// Sends the prompt of an attempt that was opened with length class `size`.
     void send_prompt(length_class size, const attempt_key& key);
-    /// Ends a try.
+    /// Cancels an attempt that was opened with length class `size`.
     void cancel_attempt(length_class size, const attempt_key& key);
 
-    /// Something has come on one of the connections.
+    /// Updates the schedule after a receive on one of the connections, and sends calls that waited for it.
     void heard(instant now);
-    /// Sends heartbeats that are due and gives up silent connections.
-    [[nodiscard]] auto tick(instant now) -> link_news;
+    /// Sends due heartbeats and closes silent connections.
+    [[nodiscard]] auto tick(instant now) -> link_tick_result;
 
 private:
-    /// A service call whose connection is being proven.
-    struct held_call
+    /// A service call that waits until the connection is proven alive.
+    struct pending_call
     {
         attempt_key key;
         service_operation operation = service_operation::run;
@@ -68,11 +69,11 @@
         instant since;
     };
 
-    void open_lane(length_class size);
-    [[nodiscard]] auto lane(instant now, length_class size) -> lane_connection&;
-    void take_pulses(instant now);
-    void send_held(instant now);
-    [[nodiscard]] auto drop_held(instant now) -> std::vector<attempt_key>;
+    void open_connection(length_class size);
+    [[nodiscard]] auto connection_for(instant now, length_class size) -> sidecar_connection&;
+    void update_schedule(instant now);
+    void send_pending_calls(instant now);
+    [[nodiscard]] auto expire_pending_calls(instant now) -> std::vector<attempt_key>;
 
     upstream_id upstream_;
     std::string address_;
@@ -80,9 +81,9 @@
     heartbeat_options times_;
     link_sink sink_;
     rpc::call_tracker& calls_;
-    std::array<std::unique_ptr<lane_connection>, length_class_count> lanes_;
+    std::array<std::unique_ptr<sidecar_connection>, length_class_count> connections_;
     link_schedule schedule_;
-    std::vector<held_call> held_;
+    std::vector<pending_call> pending_calls_;
 };
 
 } // namespace dragonflymill::gateway
