--- a/include/dragonflymill/limit/account_limiter.h
+++ b/include/dragonflymill/limit/account_limiter.h
@@ -15,68 +15,70 @@
 
 namespace dragonflymill {
 
-/// Settings of an account limiter.
+/// Settings of `account_limiter`.
 struct account_limiter_settings
 {
-    process_id self;                  ///< This gateway.
-    duration lease_time = 6s;         ///< How long a granted share holds without being renewed.
-    duration ask_interval = 2s;       ///< Shortest time between two asks for one share.
-    double floor = 0.1;               ///< Part of each limit that is not leased: every gateway has its equal
-                                      ///< part of it at any time.
-    duration forget_after = 60s;      ///< An account without requests for so long is no longer tracked.
-    duration burst = 1s;              ///< Unused rate that is kept, in time at the share.
-    std::size_t max_accounts = 4'096; ///< Accounts tracked; at the bound the longest idle one is dropped.
+    process_id self;                ///< Process id of this gateway.
+    duration lease_time = 6s;       ///< Time that a granted share is valid without renewal.
+    duration request_interval = 2s; ///< Minimum time between two requests for one share.
+    double unleased_part = 0.1;     ///< Fraction of each limit that is not leased; every gateway may use its
+                                    ///< equal part of it at any time.
+    duration idle_timeout = 60s;    ///< An account without requests for this long is no longer tracked.
+    duration burst = 1s;            ///< Size of the token buckets, as time at the share's rate.
+    std::size_t max_accounts = 4'096; ///< Accounts tracked; the longest idle is dropped.
 };
 
-/// Ask a gateway for shares of the limits of accounts whose home it is.
+/// Request to the gateway that owns some accounts for shares of their limits.
 struct ask_shares
 {
-    process_id home;                     ///< Whom to ask; it may be this gateway itself.
-    std::vector<share_request> requests; ///< What to ask, one request for each account.
-    instant asked;                       ///< When, by the asker's clock; does not travel.
+    process_id home;                     ///< Gateway that owns the accounts; may be this gateway itself.
+    std::vector<share_request> requests; ///< One request for each account.
+    instant asked;                       ///< When, by the requester's clock; not sent.
 
     friend auto operator==(const ask_shares&, const ask_shares&) -> bool = default;
 };
 
 /// Keeps client accounts within their limits over all gateways, without shared state.
 ///
-/// Each account has a home among the live gateways, by rendezvous hash. Every gateway that serves the account
-/// tells its demand to the home, and the home leases it a part of the limits by demand. A tenth of the limits
-/// is not leased: each gateway has its equal part of that besides its lease. A gateway without a lease,
-/// because it just began or can't reach the home, uses an equal part: the limit divided by the number of
-/// gateways. A home that sees no more than half of the gateways grants no more than their equal parts.
+/// Each account is owned by one of the live gateways, its home, chosen by rendezvous hash. Every gateway that
+/// serves the account reports its demand to the home, and the home leases it a part of the limits in
+/// proportion to demand. A tenth of the limits is not leased: each gateway has its equal part of that in
+/// addition to its lease. A gateway without a lease, because it has just started or can't reach the home,
+/// uses an equal part: the limit divided by the number of gateways. A home that sees no more than half of the
+/// gateways grants no more than their equal parts.
 ///
-/// Bound: whatever is cut off from whatever, all gateways together admit at a rate of at most 1.5 times the
-/// limit, plus one request for each gateway and minute (docs/design/account-limits.md).
+/// Bound: under any partition all gateways together admit at a rate of at most 1.5 times the limit, plus one
+/// request for each gateway and minute (docs/design/account-limits.md).
 class account_limiter
 {
 public:
-    /// A limiter that knows no account yet.
+    /// Creates a limiter without accounts.
     account_limiter(account_limiter_settings settings, instant now);
 
-    /// A bundle was put in force: limits change at once, shares are scaled to them.
+    /// Applies the limits of a new bundle at once; shares are scaled to them.
     void bundle_adopted(instant now, const bundle& value);
-    /// The gateways believed alive, this one included. `configured` is how many there are when all are well:
-    /// a gateway cut off from the others must not take their absence for a larger share.
+    /// Sets the gateways believed alive, this one included. `configured` is their number when all are alive:
+    /// a gateway that is cut off must not take the absence of the others for a larger share.
     void gateways_changed(instant now, std::vector<process_id> live, std::size_t configured);
 
-    /// Admits a request of `tokens`, for which `done` is to be called at its end; or says why not, and when
-    /// to come back.
+    /// Admits a request of `tokens`, for which `done` must be called at its end; otherwise returns the
+    /// refusal with a time to retry after.
     [[nodiscard]] auto admit(instant now, const client_account_id& account, token_count tokens)
         -> std::optional<refusal>;
-    /// An admitted request ended, having taken `tokens` more (or, negative, fewer) than was said.
+    /// Ends an admitted request that used `tokens` more (or, if negative, fewer) than `admit` was given.
     void done(instant now, const client_account_id& account, token_count tokens);
 
-    /// Requests for shares that are due, those to one home together.
+    /// Returns the requests for shares that are due, grouped by home.
     [[nodiscard]] auto tick(instant now) -> std::vector<ask_shares>;
-    /// Another gateway (or this one) asks for a share of an account whose home this is.
-    [[nodiscard]] auto share_asked(instant now, const share_request& request) -> share_grant;
-    /// The home answered what was asked at `asked`; one that is not the home (any more) is not believed.
+    /// Decides on a gateway's request for a share of an account whose home this gateway is.
+    [[nodiscard]] auto grant_share(instant now, const share_request& request) -> share_grant;
+    /// Applies the answer to a request made at `asked`. An answer from a gateway that is not, or no longer,
+    /// the home is ignored.
     void share_granted(instant now, const share_grant& grant, instant asked);
 
-    /// The home of an account; empty while no gateway is known.
+    /// Returns the home of an account; empty while no gateway is known.
     [[nodiscard]] auto home(const client_account_id& account) const -> process_id;
-    /// Part of the account's limit that this gateway may use now.
+    /// Returns the fraction of the account's limit that this gateway may use now.
     [[nodiscard]] auto part(instant now, const client_account_id& account) const -> double;
 
 private:
@@ -90,15 +92,15 @@
         instant lease_end{};
         instant renew_at{};
         process_id home; // empty until it is needed again
-        std::optional<instant> asked;
-        instant granted{}; // when the newest answer so far was asked for
-        instant used{};
+        std::optional<instant> requested_at;
+        instant newest_answer{}; // request time of the newest answer so far
+        instant last_used{};
     };
 
     [[nodiscard]] auto entry_of(const client_account_id& account) const -> const account_entry*;
     [[nodiscard]] auto track(instant now, const account_entry& entry) -> tracked&;
     [[nodiscard]] auto home_of(const client_account_id& account, tracked& state) -> const process_id&;
-    [[nodiscard]] auto ask_due(instant now, tracked& state) const -> bool;
+    [[nodiscard]] auto is_request_due(instant now, tracked& state) const -> bool;
     [[nodiscard]] auto equal_part() const -> double;
     [[nodiscard]] auto part_of(instant now, const tracked& state) const -> double;
     [[nodiscard]] auto rules(instant now, const client_account_id& account) const -> share_rules;
--- a/include/dragonflymill/limit/rate_share.h
+++ b/include/dragonflymill/limit/rate_share.h
@@ -7,13 +7,13 @@
 
 namespace dragonflymill {
 
-/// A gateway's part of a rate limit, as a token bucket that may go into debt: what a request costs can be
-/// more than the bucket ever holds, and is known for certain only at its end.
+/// A gateway's share of a rate limit, as a token bucket that may go into debt: the cost of a request can
+/// exceed the bucket's capacity, and is certain only at its end.
 class rate_share
 {
 public:
-    /// Takes effect from `now` on: `rate` a second, of which `burst` may be saved up.
-    void change(instant now, double rate, duration burst)
+    /// Sets the rate, in units a second, from `now` on; `burst` is the capacity as time at that rate.
+    void set_rate(instant now, double rate, duration burst)
     {
         refill(now);
         const bool fresh = rate_ == 0;
@@ -22,17 +22,17 @@
         level_ = fresh ? capacity_ : std::min(level_, capacity_);
     }
 
-    /// Whether something may be taken now.
-    [[nodiscard]] auto open(instant now) -> bool
+    /// Returns whether the bucket is above zero.
+    [[nodiscard]] auto is_open(instant now) -> bool
     {
         refill(now);
         return level_ > 0;
     }
 
-    /// Takes (or, negative, gives back) an amount.
+    /// Removes an amount; a negative amount is returned to the bucket.
     void take(double amount) { level_ = std::min(level_ - amount, capacity_); }
 
-    /// Time until it is open again; zero if it is open.
+    /// Returns the time until the bucket is above zero again; zero if it is.
     [[nodiscard]] auto wait() const -> duration
     {
         constexpr double longest_wait = 60;
@@ -60,39 +60,40 @@
     instant filled_{};
 };
 
-/// Measures how much of a limit callers ask for, refused requests included: the weight of a gateway's share.
+/// Measures how much of a limit callers request, refused requests included. This is the weight of a gateway's
+/// share.
 class demand_meter
 {
 public:
-    /// Something was asked for that takes `part` of a second of the limit.
+    /// Adds a request that uses `part` of one second of the limit.
     void add(instant now, double part)
     {
         decay(now);
         value_ += part / window_seconds;
-        since_told_ = true;
+        has_unreported_demand_ = true;
     }
 
-    /// Demand as a multiple of the limit, averaged over some seconds.
+    /// Returns the demand as a multiple of the limit, averaged over `window_seconds`.
     [[nodiscard]] auto value(instant now) -> double
     {
         decay(now);
         return value_;
     }
 
-    /// The value, noted as what the account's home was told.
-    [[nodiscard]] auto tell(instant now) -> double
+    /// Returns the demand and stores it as the value reported to the account's home.
+    [[nodiscard]] auto report(instant now) -> double
     {
-        told_ = value(now);
-        since_told_ = false;
-        return told_;
+        last_reported_ = value(now);
+        has_unreported_demand_ = false;
+        return last_reported_;
     }
-    /// Whether anything was asked for since the home was told.
-    [[nodiscard]] auto since_told() const -> bool { return since_told_; }
-    /// Whether it is about what the home was told.
-    [[nodiscard]] auto steady(instant now) -> bool
+    /// Returns whether anything was requested since the last report.
+    [[nodiscard]] auto has_unreported_demand() const -> bool { return has_unreported_demand_; }
+    /// Returns whether the demand is within a quarter of the value last reported.
+    [[nodiscard]] auto is_near_reported(instant now) -> bool
     {
-        constexpr double steady_part = 0.25;
-        return std::abs(value(now) - told_) <= steady_part * told_;
+        constexpr double steady_tolerance = 0.25;
+        return std::abs(value(now) - last_reported_) <= steady_tolerance * last_reported_;
     }
 
 private:
@@ -108,8 +109,8 @@
     }
 
     double value_ = 0;
-    double told_ = 0;
-    bool since_told_ = false;
+    double last_reported_ = 0;
+    bool has_unreported_demand_ = false;
     instant measured_{};
 };
 
--- a/include/dragonflymill/limit/share_lease.h
+++ b/include/dragonflymill/limit/share_lease.h
@@ -7,51 +7,52 @@
 
 namespace dragonflymill {
 
-/// A gateway asks the home of an account for a part of the account's limits.
+/// Request of a gateway to an account's home for a part of the account's limits.
 struct share_request
 {
-    client_account_id account; ///< Whose limits.
-    process_id gateway;        ///< Who asks.
-    double demand = 0;         ///< What its callers ask for, as a multiple of the limit.
-    double held = 0;           ///< Part that it holds by a lease that has not run out.
+    client_account_id account;
+    process_id gateway; ///< Gateway that requests the share.
+    double demand = 0;  ///< Demand of its callers, as a multiple of the limit.
+    double held = 0;    ///< Part that it holds by an unexpired lease.
 
     friend auto operator==(const share_request&, const share_request&) -> bool = default;
 };
 
-/// The home's answer: a lease of a part of the limits.
+/// Answer of the home: a lease of a part of the limits.
 struct share_grant
 {
-    client_account_id account; ///< Whose limits.
-    process_id home;           ///< Who granted it.
-    bool is_home = true;       ///< False if the one asked does not see itself as the home.
-    double part = 0;           ///< Part of each limit, from 0 to 1.
-    duration lease{0};         ///< How long it holds, from when it was asked for.
+    client_account_id account;
+    process_id home;     ///< Gateway that granted it.
+    bool is_home = true; ///< False if the gateway that was asked does not consider itself the home.
+    double part = 0;     ///< Part of each limit, from 0 to 1.
+    duration lease{0};   ///< Validity, from when the share was requested.
 
     friend auto operator==(const share_grant&, const share_grant&) -> bool = default;
 };
 
-/// How much a home may grant just now.
+/// Limits on what a home may grant at the moment.
 struct share_rules
 {
-    duration lease = 6s;   ///< How long a grant holds.
-    double whole = 1;      ///< What may be granted in all: less than 1 in the smaller part of a partition.
-    double equal_part = 1; ///< One gateway's part if all were equal.
-    bool only_held_parts = false; ///< The home has moved: leases of the one before are still out.
+    duration lease = 6s;   ///< Validity of a grant.
+    double total = 1;      ///< Total that may be granted; less than 1 in the minority part of a partition.
+    double equal_part = 1; ///< One gateway's part if all had the same.
+    bool renewals_only = false; ///< The home has moved: leases of the previous home are still valid.
 };
 
-/// The leases that this gateway, as their home, has granted on accounts' limits.
+/// The leases on account limits that this gateway, as their home, has granted.
 ///
-/// Bounds: `max_accounts` accounts, the one asked about longest ago goes; at most `max_holders` gateways
-/// each, more are granted nothing.
+/// Bounds: `max_accounts` accounts, of which the one requested least recently is dropped; at most
+/// `max_holders` gateways each, and further ones are granted nothing.
 class share_home
 {
 public:
-    /// Most accounts.
+    /// Maximum accounts.
     static constexpr std::size_t max_accounts = 4'096;
-    /// Most gateways that hold shares of one account.
+    /// Maximum gateways that hold shares of one account.
     static constexpr std::size_t max_holders = 1'024;
 
-    /// Grants a part by demand; what is out on leases and the grant are never more than `rules.whole`.
+    /// Grants a part in proportion to demand; the parts leased, this grant included, never exceed the total
+    /// in `rules`.
     [[nodiscard]] auto grant(instant now, const share_request& request, const share_rules& rules)
         -> share_grant;
 
@@ -65,7 +66,7 @@
     struct account_state
     {
         std::map<process_id, holder> holders;
-        instant asked{};
+        instant requested_at{};
     };
 
     [[nodiscard]] auto state_of(instant now, const client_account_id& account) -> account_state&;
--- a/include/dragonflymill/serve/completion_dispatcher.h
+++ b/include/dragonflymill/serve/completion_dispatcher.h
@@ -14,68 +14,68 @@
 
 namespace dragonflymill {
 
-/// The routing that gateways use.
+/// The router that gateways use.
 using gateway_router = router<predicted_first_token>;
 
-/// The completions that one gateway has in hand, from arrival to their final answer. Each gets exactly one
-/// final answer, at the latest at its time limit.
+/// Tracks the completions that one gateway has in flight, from arrival to their final answer. Each receives
+/// exactly one final answer, at its time limit at the latest.
 class completion_dispatcher
 {
 public:
-    /// Works with `routes`, `rules` and `gangs`, which the owner keeps alive, for the gateway `self`; holds
-    /// at most `capacity` requests.
+    /// Keeps references to `routes`, `rules` and `gangs`, which must outlive it. `self` is the gateway's
+    /// process id; at most `capacity` requests are held.
     completion_dispatcher(process_id self, gateway_router& routes, retry_rules& rules, gang_dispatcher& gangs,
                           std::size_t capacity);
 
-    /// A caller asks.
+    /// Adds a request and dispatches it.
     void arrived(instant now, const gateway_input::completion_arrived& input,
                  std::vector<gateway_action>& actions);
-    /// A caller asks, and its work waits for `resume`.
-    void arrived_on_hold(instant now, const gateway_input::completion_arrived& input,
-                         std::vector<gateway_action>& actions);
-    /// Ends its try; the caller keeps what it has and waits for the rest.
+    /// Adds a request whose work starts with the next `resume`.
+    void arrived_deferred(instant now, const gateway_input::completion_arrived& input,
+                          std::vector<gateway_action>& actions);
+    /// Cancels the request's attempt; the caller keeps the tokens delivered so far and waits for the rest.
     void pause(instant now, exchange_number exchange, std::vector<gateway_action>& actions);
-    /// Goes on with it, at the upstream that is best now.
+    /// Continues a paused request at the upstream that is now the best.
     void resume(instant now, exchange_number exchange, std::vector<gateway_action>& actions);
-    /// The caller left: its work is cancelled.
+    /// Cancels the work of a caller that disconnected.
     void caller_left(instant now, exchange_number exchange, std::vector<gateway_action>& actions);
-    /// A try was granted: its prompt may travel.
+    /// Sends the prompt of a granted attempt.
     void granted(instant now, const attempt_key& key, std::vector<gateway_action>& actions);
-    /// A try was refused or lost.
+    /// Handles the refusal or loss of an attempt.
     void refused(instant now, const gateway_input::attempt_refused& input,
                  std::vector<gateway_action>& actions);
-    /// Tokens have come.
+    /// Passes on tokens of an attempt.
     void tokens(instant now, const gateway_input::attempt_tokens& input,
                 std::vector<gateway_action>& actions);
-    /// A try says that the answer is whole.
+    /// Handles the end of an attempt's answer.
     void finished(instant now, const gateway_input::attempt_finished& input,
                   std::vector<gateway_action>& actions);
-    /// The engines of a gang are ready for the answer.
+    /// Opens the decoding attempt of a gang whose spans are ready.
     void decode(instant now, const gang_decode& made, std::vector<gateway_action>& actions);
-    /// A gang can't be had or was lost.
+    /// Handles a gang that can't be reserved or was lost.
     void lost(instant now, const gang_attempt_lost& loss, std::vector<gateway_action>& actions);
-    /// Acts on what is due.
+    /// Handles time limits, retries and gaps that are due.
     void tick(instant now, std::vector<gateway_action>& actions);
 
-    /// Requests in hand.
+    /// Returns the number of requests in flight.
     [[nodiscard]] auto size() const -> std::size_t { return requests_.size(); }
-    /// Whether the exchange is one of these.
+    /// Returns whether the exchange is in flight here.
     [[nodiscard]] auto holds(exchange_number exchange) const -> bool
     {
         return requests_.count(exchange) != 0;
     }
 
 private:
-    enum class due
+    enum class timer_kind
     {
         time_limit,
         retry,
         open_gap
     };
-    struct wake_key
+    struct timer_key
     {
         exchange_number exchange;
-        due why = due::time_limit;
+        timer_kind kind = timer_kind::time_limit;
     };
 
     struct request
@@ -84,43 +84,43 @@
         deadline_budget limit;
         stream_joiner joiner;
         route_request routing;
-        upstream_id at;         // upstream of the running try; empty between two tries
-        attempt_number running; // its number
+        upstream_id upstream;   // upstream of the running attempt; empty between two attempts
+        attempt_number attempt; // number of the running attempt
         std::uint64_t attempts = 0;
         bool first_token_seen = false;
-        bool prompt_sent = false;  // of the running try
-        bool may_have_run = false; // of the tries before it
-        bool on_hold = false;
-        bool was_on_hold = false;
+        bool prompt_sent = false;  // for the running attempt
+        bool may_have_run = false; // for the attempts before it
+        bool paused = false;
+        bool was_paused = false;
         timer_id limit_timer;
-        std::optional<timer_id> other_timer{};
+        std::optional<timer_id> attempt_timer{};
     };
     using requests = std::map<exchange_number, request>;
 
-    [[nodiscard]] auto take_in(instant now, const gateway_input::completion_arrived& input,
-                               std::vector<gateway_action>& actions) -> requests::iterator;
-    void dispatch(instant now, requests::iterator held, std::vector<gateway_action>& actions);
-    void open(instant now, requests::iterator held, const route_request& routing, const route_choice& choice,
+    [[nodiscard]] auto add_request(instant now, const gateway_input::completion_arrived& input,
+                                   std::vector<gateway_action>& actions) -> requests::iterator;
+    void dispatch(instant now, requests::iterator entry, std::vector<gateway_action>& actions);
+    void open(instant now, requests::iterator entry, const route_request& routing, const route_choice& choice,
               const gang_decode* gang, std::vector<gateway_action>& actions);
     void end_attempt(instant now, request& item);
-    [[nodiscard]] auto wait_again(instant now, requests::iterator held, refusal_code code, duration after)
-        -> bool;
-    void act_on(instant now, requests::iterator held, std::vector<stream_output> outputs, const refusal& why,
-                std::vector<gateway_action>& actions);
-    void try_again(instant now, requests::iterator held, const refusal& why,
-                   std::vector<gateway_action>& actions);
-    void give_up(instant now, requests::iterator held, const refusal& why,
-                 std::vector<gateway_action>& actions);
-    void watch_gap(requests::iterator held);
-    void forget(instant now, requests::iterator held, std::vector<gateway_action>& actions);
-    void set_other_timer(requests::iterator held, instant at, due why);
+    [[nodiscard]] auto retry_deferred(instant now, requests::iterator entry, refusal_code code,
+                                      duration after) -> bool;
+    void apply_stream_outputs(instant now, requests::iterator entry, std::vector<stream_output> outputs,
+                              const refusal& why, std::vector<gateway_action>& actions);
+    void retry_or_refuse(instant now, requests::iterator entry, const refusal& why,
+                         std::vector<gateway_action>& actions);
+    void refuse_finally(instant now, requests::iterator entry, const refusal& why,
+                        std::vector<gateway_action>& actions);
+    void schedule_gap_check(requests::iterator entry);
+    void remove(instant now, requests::iterator entry, std::vector<gateway_action>& actions);
+    void set_attempt_timer(requests::iterator entry, instant at, timer_kind kind);
 
     process_id self_;
     gateway_router& routes_;
     retry_rules& rules_;
     gang_dispatcher& gangs_;
     requests requests_;
-    timer_service<wake_key> timers_;
+    timer_service<timer_key> timers_;
     std::size_t capacity_;
 };
 
--- a/include/dragonflymill/serve/gateway_messages.h
+++ b/include/dragonflymill/serve/gateway_messages.h
@@ -19,165 +19,165 @@
 
 namespace dragonflymill {
 
-/// Number that a gateway's shell gives to each request of a caller.
+/// Number that a gateway's shell assigns to each client request.
 using exchange_number = number_id<struct exchange_tag>;
 
-/// Names one try at one request within a gateway.
+/// Identifies one attempt at one request within a gateway.
 struct attempt_key
 {
-    exchange_number exchange; ///< The request.
-    attempt_number attempt;   ///< The try.
+    exchange_number exchange;
+    attempt_number attempt;
 
     // NOLINTNEXTLINE(modernize-use-nullptr): the linter takes the zero of a rewritten a < b for a pointer
     friend auto operator<=>(const attempt_key&, const attempt_key&) -> std::strong_ordering = default;
 };
 
-/// What a caller wants of a plain service.
+/// Operation that a caller requests of a plain service.
 enum class service_operation
 {
     run,    ///< Run the call.
-    ticket, ///< Give a ticket for a later call.
-    status, ///< Tell what became of an earlier call.
+    ticket, ///< Issue a ticket for a later call.
+    status, ///< Report the state of an earlier call.
 };
 
 /// Inputs of `gateway_core`.
 namespace gateway_input {
 
-/// A caller asks for a completion.
+/// A caller requests a completion.
 struct completion_arrived
 {
-    exchange_number exchange;                       ///< The request.
-    request_id request;                             ///< Its name.
-    client_account_id account;                      ///< Whose it is.
-    model_id model;                                 ///< Model it asks for.
-    adapter_id adapter;                             ///< Adapter it asks for; empty for none.
-    priority request_priority = priority::standard; ///< Its priority.
-    token_count prompt_tokens = 0;                  ///< Length of the prompt.
-    token_count max_tokens = 0;                     ///< Most tokens of the answer.
-    std::vector<block_hash> blocks{};               ///< Chained hashes of the prompt's blocks.
-    duration time_limit{0};                         ///< Its time limit, from when it was read.
-    duration waited{0};                             ///< How long ago that was.
+    exchange_number exchange;
+    request_id request;        ///< Identifies the request in logs and at engines.
+    client_account_id account; ///< Account that is charged for the request.
+    model_id model;
+    adapter_id adapter; ///< Adapter of the model; empty for none.
+    priority request_priority = priority::standard;
+    token_count prompt_tokens = 0;    ///< Length of the prompt.
+    token_count max_tokens = 0;       ///< Maximum length of the answer.
+    std::vector<block_hash> blocks{}; ///< Chained hashes of the prompt's blocks.
+    duration time_limit{0};           ///< Time limit, counted from when the request was read.
+    duration waited{0};               ///< Time since the request was read.
 
-    /// What is left of its time limit; not above zero if none is.
+    /// Returns the rest of the time limit; zero or negative once it has expired.
     [[nodiscard]] auto remaining() const -> duration { return time_limit - waited; }
 };
-/// A caller calls a plain service, or asks for a ticket or a status.
+/// A caller calls a plain service, or requests a ticket or a status.
 struct service_arrived
 {
-    exchange_number exchange;                             ///< The request.
-    service_operation operation = service_operation::run; ///< What it wants.
-    service_spec spec;  ///< The call, with its time limit from when it was read.
-    duration waited{0}; ///< How long ago that was.
+    exchange_number exchange;
+    service_operation operation = service_operation::run;
+    service_spec spec;  ///< The call, with its time limit counted from when it was read.
+    duration waited{0}; ///< Time since the call was read.
 };
-/// The caller left before its answer was whole.
+/// The caller disconnected before its answer was complete.
 struct caller_left
 {
-    exchange_number exchange; ///< The request.
+    exchange_number exchange;
 };
-/// The sidecar granted the try.
+/// The sidecar granted the attempt.
 struct attempt_granted
 {
-    attempt_key key; ///< The try.
+    attempt_key key;
 };
-/// The sidecar refused the try, or its engine lost it.
+/// The sidecar refused the attempt, or its engine lost it.
 struct attempt_refused
 {
-    attempt_key key; ///< The try.
-    refusal why;     ///< The refusal.
+    attempt_key key;
+    refusal why;
 };
-/// Tokens have come.
+/// Tokens of the answer arrived.
 struct attempt_tokens
 {
-    attempt_key key;                 ///< The try.
-    token_offset offset = 0;         ///< Place of the first of them.
-    std::vector<std::string> tokens; ///< Their text.
+    attempt_key key;
+    token_offset offset = 0;         ///< Offset of the first token in the answer.
+    std::vector<std::string> tokens; ///< Text of each token.
 };
-/// The answer is whole.
+/// The answer is complete.
 struct attempt_finished
 {
-    attempt_key key;         ///< The try.
+    attempt_key key;
     token_offset tokens = 0; ///< Length of the whole answer.
-    std::string reason;      ///< Why it ends there.
-    std::string source{};    ///< Address where other engines read the span, if it was a try at one.
+    std::string reason;      ///< Finish reason.
+    std::string source{}; ///< For an attempt that computed a span: address from which other engines read it.
 };
-/// The call broke: its connection is gone or was replaced.
+/// The connection of the attempt was closed or replaced.
 struct attempt_broken
 {
-    attempt_key key;          ///< The try.
-    bool prompt_sent = false; ///< Whether a byte of the prompt may have left.
+    attempt_key key;
+    bool prompt_sent = false; ///< Whether a byte of the prompt may have been sent.
 };
 /// The sidecar's answer to a service call.
 struct service_answered
 {
-    attempt_key key;       ///< The try.
-    once_answer answer;    ///< The service's answer.
-    bool replayed = false; ///< Whether it is the remembered answer of an earlier call.
+    attempt_key key;
+    once_answer answer;
+    bool replayed = false; ///< Whether it is the stored answer of an earlier call.
 };
-/// The sidecar refused the service call, or can't tell what became of it.
+/// The sidecar refused the service call, or doesn't know its outcome.
 struct service_refused
 {
-    attempt_key key; ///< The try.
-    refusal why;     ///< The refusal.
+    attempt_key key;
+    refusal why;
 };
-/// The sidecar gave a ticket.
+/// The sidecar issued a ticket.
 struct ticket_given
 {
-    attempt_key key;    ///< The try.
-    std::string ticket; ///< The ticket's text.
+    attempt_key key;
+    std::string ticket;
 };
-/// The sidecar says that the call asked about is running or may still be submitted.
+/// The call whose status was requested is running, or may still be submitted.
 struct service_running
 {
-    attempt_key key; ///< The try.
+    attempt_key key;
 };
-/// A load word of an upstream, out of an answer or a heartbeat.
+/// Load of an upstream, from an answer or a heartbeat.
 struct load_reported
 {
-    upstream_id upstream; ///< The upstream.
-    upstream_load load;   ///< Its word.
+    upstream_id upstream;
+    upstream_load load;
 };
-/// The links' or membership's word about an upstream's sidecar.
+/// State of an upstream's sidecar as its link or the membership reports it.
 struct upstream_changed
 {
-    upstream_id upstream;                         ///< The upstream.
-    upstream_state state = upstream_state::alive; ///< The word.
+    upstream_id upstream;
+    upstream_state state = upstream_state::alive;
 };
-/// A bundle has come into force.
+/// A bundle was put in force.
 struct bundle_adopted
 {
-    std::shared_ptr<const bundle> in_force; ///< The bundle.
+    std::shared_ptr<const bundle> in_force;
 };
-/// What takes no new work, by all words that there are: bundle, host list and gossip. Until the first of
-/// these the bundle's word counts alone.
+/// Everything that is drained according to the bundle, the host list and gossip together. Until the first of
+/// these events only the bundle's own drains apply.
 struct drains_changed
 {
-    std::vector<failure_domain_id> domains; ///< Failure domains.
-    std::vector<host_id> hosts;             ///< Further hosts.
+    std::vector<failure_domain_id> domains; ///< Drained failure domains.
+    std::vector<host_id> hosts;             ///< Drained hosts outside these domains.
 };
-/// The gateways believed alive have changed.
+/// The set of gateways believed alive changed.
 struct gateways_changed
 {
-    std::vector<process_id> live; ///< All of them, this one included.
-    std::size_t configured = 1;   ///< How many there are when all are well.
+    std::vector<process_id> live; ///< All live gateways, this one included.
+    std::size_t configured = 1;   ///< Number of gateways when all are alive.
 };
-/// The home of some accounts has granted shares of their limits.
+/// The owner of some accounts granted shares of their limits.
 struct shares_granted
 {
-    std::vector<share_grant> grants; ///< The grants.
-    instant asked;                   ///< When they were asked for.
+    std::vector<share_grant> grants;
+    instant asked; ///< When the shares were requested.
 };
-/// The process is to stop: what is in hand is finished.
+/// The process is to stop; work in flight is finished first.
 struct stop_requested
 {
 };
-/// Time passed.
+/// Periodic event that triggers what is due.
 struct tick
 {
 };
 
 } // namespace gateway_input
 
-/// Everything that `gateway_core` takes in.
+/// Every input of `gateway_core`.
 using gateway_event = std::variant<
     gateway_input::completion_arrived, gateway_input::service_arrived, gateway_input::caller_left,
     gateway_input::attempt_granted, gateway_input::attempt_refused, gateway_input::attempt_tokens,
@@ -190,103 +190,103 @@
 /// Outputs of `gateway_core`.
 namespace gateway_output {
 
-/// Put a try to the upstream's sidecar, on the connection of its class.
+/// Open an attempt at the upstream's sidecar, on the connection of its length class.
 struct open_attempt
 {
-    upstream_id upstream;                               ///< The upstream.
-    attempt_key key;                                    ///< The try.
-    attempt_spec spec;                                  ///< What is asked.
-    route_reason reason = route_reason::only_candidate; ///< Why there, for the time line.
+    upstream_id upstream;
+    attempt_key key;
+    attempt_spec spec;                                  ///< Parameters of the attempt.
+    route_reason reason = route_reason::only_candidate; ///< Why the upstream was chosen, for the timeline.
 };
-/// Send the prompt of a granted try.
+/// Send the prompt of a granted attempt.
 struct send_prompt
 {
-    attempt_key key; ///< The try.
+    attempt_key key;
 };
-/// End a try: its cancel travels down to the engine.
+/// Cancel an attempt; the cancellation is passed on to the engine.
 struct cancel_attempt
 {
-    attempt_key key; ///< The try.
+    attempt_key key;
 };
-/// Call a sidecar's plain service.
+/// Call a plain service through its sidecar.
 struct call_service
 {
-    upstream_id upstream;                                 ///< The upstream.
-    attempt_key key;                                      ///< The try.
-    service_operation operation = service_operation::run; ///< What is wanted.
-    service_spec spec;                                    ///< The call.
+    upstream_id upstream;
+    attempt_key key;
+    service_operation operation = service_operation::run;
+    service_spec spec;
 };
-/// Give the caller tokens.
+/// Send tokens to the caller.
 struct deliver
 {
-    exchange_number exchange;        ///< The request.
-    token_offset offset = 0;         ///< Place of the first of them.
-    std::vector<std::string> tokens; ///< Their text.
+    exchange_number exchange;
+    token_offset offset = 0;         ///< Offset of the first token in the answer.
+    std::vector<std::string> tokens; ///< Text of each token.
 };
-/// End the caller's answer: it is whole.
+/// End the caller's complete answer.
 struct finish
 {
-    exchange_number exchange; ///< The request.
-    token_offset tokens = 0;  ///< Length of the answer.
-    std::string reason;       ///< Why it ends there.
+    exchange_number exchange;
+    token_offset tokens = 0; ///< Length of the answer.
+    std::string reason;      ///< Finish reason.
 };
-/// Give the caller its final refusal, as an answer or as the last event of its stream.
+/// Send the caller its final refusal, as the response or as the last event of its stream.
 struct refuse
 {
-    exchange_number exchange; ///< The request.
-    refusal why;              ///< The refusal.
+    exchange_number exchange;
+    refusal why;
 };
-/// Give the caller the plain service's answer.
+/// Send the caller the plain service's answer.
 struct answer_service
 {
-    exchange_number exchange; ///< The request.
-    once_answer answer;       ///< The answer.
-    bool replayed = false;    ///< Whether it is the remembered answer of an earlier call.
+    exchange_number exchange;
+    once_answer answer;
+    bool replayed = false; ///< Whether it is the stored answer of an earlier call.
 };
-/// Give the caller a ticket.
+/// Send the caller a ticket.
 struct give_ticket
 {
-    exchange_number exchange; ///< The request.
-    std::string ticket;       ///< The ticket's text.
+    exchange_number exchange;
+    std::string ticket;
 };
-/// Tell the caller that the call it asks about is running.
+/// Report to the caller that the call it asked about is running.
 struct report_running
 {
-    exchange_number exchange; ///< The request.
+    exchange_number exchange;
 };
 /// Keep connections to exactly these upstreams.
 struct connect_upstreams
 {
-    std::vector<upstream_entry> upstreams; ///< The subset.
+    std::vector<upstream_entry> upstreams; ///< The gateway's subset.
 };
-/// Ask the home of some accounts for shares of their limits.
+/// Request shares of account limits from the accounts' owner.
 struct request_account_shares
 {
-    ask_shares asked; ///< Whom and what.
+    ask_shares asked; ///< The owner and the requests.
 };
-/// Ask an upstream's sidecar for its load.
+/// Request an upstream's load from its sidecar.
 struct probe_load
 {
-    upstream_id upstream; ///< The upstream.
+    upstream_id upstream;
 };
-/// Log that a request's work is paused.
+/// Log that a request's work was paused.
 struct log_paused
 {
-    exchange_number exchange; ///< The request.
+    exchange_number exchange;
 };
-/// Log that a paused request's work goes on.
+/// Log that a paused request's work was resumed.
 struct log_resumed
 {
-    exchange_number exchange; ///< The request.
+    exchange_number exchange;
 };
-/// Everything in hand is finished.
+/// Nothing is in flight any more; sent once, after a stop was requested.
 struct all_done
 {
 };
 
 } // namespace gateway_output
 
-/// Everything that `gateway_core` wants done.
+/// Every output of `gateway_core`.
 using gateway_action =
     std::variant<gateway_output::open_attempt, gateway_output::send_prompt, gateway_output::cancel_attempt,
                  gateway_output::call_service, gateway_output::deliver, gateway_output::finish,
--- a/include/dragonflymill/serve/keyed_call_dispatcher.h
+++ b/include/dragonflymill/serve/keyed_call_dispatcher.h
@@ -13,59 +13,60 @@
 
 namespace dragonflymill {
 
-/// The calls of plain services that one gateway has in hand. A call that may not be repeated goes to the one
-/// sidecar that its ticket or key names, and is tried again only when a sidecar said that it was not run.
+/// Tracks the calls of plain services that one gateway has in flight. A non-repeatable call goes only to the
+/// sidecar that its ticket or key selects, and is retried only after a sidecar reported that it was not run.
 class keyed_call_dispatcher
 {
 public:
-    /// Works with `routes` and `rules`, which the owner keeps alive; reads tickets with `ticket_key`; holds
-    /// at most `capacity` calls.
+    /// Keeps references to `routes` and `rules`, which must outlive it; reads tickets with `ticket_key`. At
+    /// most `capacity` calls are held.
     keyed_call_dispatcher(gateway_router& routes, retry_rules& rules, std::string ticket_key,
                           std::size_t capacity);
 
-    /// A bundle has come into force with these routes.
+    /// Applies the service routes of a new bundle.
     void routes_changed(const std::vector<service_route_entry>& routes);
-    /// A caller asks.
+    /// Adds a call and dispatches it.
     void arrived(instant now, const gateway_input::service_arrived& input,
                  std::vector<gateway_action>& actions);
-    /// The caller left. A call that was sent runs on; its outcome is remembered at the sidecar.
+    /// Drops the call of a caller that disconnected. A call that was sent runs on; its sidecar stores the
+    /// outcome.
     void caller_left(instant now, exchange_number exchange);
-    /// The service answered.
+    /// Passes on the service's answer.
     void answered(instant now, const gateway_input::service_answered& input,
                   std::vector<gateway_action>& actions);
-    /// The sidecar refused, or the call broke.
+    /// Handles a refusal, or a lost connection, of a call.
     void refused(instant now, const gateway_input::service_refused& input,
                  std::vector<gateway_action>& actions);
-    /// The sidecar gave a ticket.
+    /// Passes on a ticket.
     void ticket_given(instant now, const gateway_input::ticket_given& input,
                       std::vector<gateway_action>& actions);
-    /// The call asked about is running.
+    /// Reports that the call whose status was requested is running.
     void running(instant now, const gateway_input::service_running& input,
                  std::vector<gateway_action>& actions);
-    /// Acts on what is due.
+    /// Handles time limits and retries that are due.
     void tick(instant now, std::vector<gateway_action>& actions);
 
-    /// Calls in hand.
+    /// Returns the number of calls in flight.
     [[nodiscard]] auto size() const -> std::size_t { return calls_.size(); }
 
 private:
-    enum class due
+    enum class timer_kind
     {
         time_limit,
         retry
     };
-    struct wake_key
+    struct timer_key
     {
         exchange_number exchange;
-        due why = due::time_limit;
+        timer_kind kind = timer_kind::time_limit;
     };
     struct call
     {
         gateway_input::service_arrived asked;
         deadline_budget limit;
-        std::optional<upstream_id> home; // the one sidecar that may run it, if its name pins it
+        std::optional<upstream_id> owner; // the only sidecar that may run it, if a ticket or key selects one
         std::vector<upstream_id> excluded;
-        upstream_id at;
+        upstream_id upstream;
         attempt_number attempt;
         bool sent = false;
         timer_id limit_timer;
@@ -73,19 +74,19 @@
     };
     using calls = std::map<exchange_number, call>;
 
-    [[nodiscard]] auto home_for(const service_spec& spec) const -> result<std::optional<upstream_id>>;
+    [[nodiscard]] auto owner_for(const service_spec& spec) const -> result<std::optional<upstream_id>>;
     [[nodiscard]] auto find(const attempt_key& key) -> calls::iterator;
-    void dispatch(instant now, calls::iterator held, std::vector<gateway_action>& actions);
+    void dispatch(instant now, calls::iterator entry, std::vector<gateway_action>& actions);
     [[nodiscard]] auto choose(instant now, const call& item) -> route_decision;
     void end_attempt(instant now, call& item);
-    void forget(instant now, calls::iterator held);
+    void remove(instant now, calls::iterator entry);
 
     gateway_router& routes_;
     retry_rules& rules_;
     ticket_codec tickets_;
     std::map<route_id, service_route_entry> services_;
     calls calls_;
-    timer_service<wake_key> timers_;
+    timer_service<timer_key> timers_;
     std::size_t capacity_;
 };
 
--- a/include/dragonflymill/serve/overload_controller.h
+++ b/include/dragonflymill/serve/overload_controller.h
@@ -12,75 +12,75 @@
 
 namespace dragonflymill {
 
-/// Bounds of a gateway's overload decisions.
+/// Settings of `overload_controller`.
 struct overload_controller_settings
 {
-    duration drain_time = 30s; ///< Time to work off what is queued, up to which nothing is refused or paused.
-    duration review = 50ms;    ///< Time between two looks at what runs and what is paused.
-    std::uint64_t seed = 0;    ///< Spreads the refusals over the requests of a class.
-    paused_work_settings pause; ///< Bounds of what is paused, for each model.
+    duration drain_time = 30s; ///< Time to work off the queues, up to which nothing is refused or paused.
+    duration review_interval = 50ms; ///< Interval between two reviews of running and paused work.
+    std::uint64_t seed = 0;          ///< Seed of the random choice between requests of one class.
+    paused_work_settings pause;      ///< Bounds of paused work, for each model.
 
     friend auto operator==(const overload_controller_settings&, const overload_controller_settings&)
         -> bool = default;
 };
 
-/// The request may come in, but its work starts later: `overload_controller::review` says when.
+/// The request is accepted, but its work starts only when `overload_controller::review` resumes it.
 struct defer_work
 {
     friend auto operator==(const defer_work&, const defer_work&) -> bool = default;
 };
 
-/// What becomes of a request that asks to come in.
+/// Decision on an offered request.
 using overload_answer = std::variant<admit_work, defer_work, refusal>;
 
-/// What has to be done with work in hand.
+/// Changes to make to requests in flight.
 struct overload_review
 {
-    std::vector<exchange_number> pause;  ///< Cancel the try of these, and keep what the caller has.
-    std::vector<exchange_number> resume; ///< Go on with these now.
+    std::vector<exchange_number> pause;  ///< Cancel the attempts of these; the callers keep what they have.
+    std::vector<exchange_number> resume; ///< Continue these now.
 
     friend auto operator==(const overload_review&, const overload_review&) -> bool = default;
 };
 
-/// Decides for one gateway what is refused, paused and resumed while the upstreams of a model have more work
-/// than they can do. Each model is decided on its own, since its upstreams are.
+/// Decides for one gateway which requests are refused, paused and resumed while the upstreams of a model have
+/// more work than they can process. Each model is decided separately, since it has its own upstreams.
 ///
-/// Bounds: as many models as the bundle has; as many requests as the gateway holds, since each leaves by
-/// `ended`; as many paused as `paused_work_settings` says, for each model: what comes above that is refused,
-/// what runs goes on running.
+/// Bounds: one entry for each model of the bundle; one for each request of the gateway, removed by `ended` or
+/// `left`; `paused_work_settings::max_paused` paused requests for each model. Above that bound new requests
+/// are refused, and running ones are not paused.
 template <overload_policy Policy>
 class overload_controller
 {
 public:
-    /// Looks at `upstreams`, which the owner keeps alive.
+    /// Keeps a reference to `upstreams`, which must outlive it.
     explicit overload_controller(const upstream_table& upstreams, overload_controller_settings settings = {});
 
-    /// Takes over models and weights of accounts.
+    /// Applies the models and account weights of a new bundle.
     void bundle_adopted(const bundle& in_force);
-    /// A request asks to come in. One that is not refused is in hand until `ended`.
+    /// Decides on a new request. One that is not refused is tracked until `ended` or `left`.
     [[nodiscard]] auto offer(instant now, const gateway_input::completion_arrived& asked) -> overload_answer;
-    /// A try of it was put to an upstream.
+    /// Notes that an attempt of the request was sent to an upstream.
     void sent(exchange_number exchange);
-    /// Its first token since then has come: what costs most is done.
+    /// Notes the first token since the last attempt was sent: the prefill, which costs most, is done.
     void prefilled(exchange_number exchange);
-    /// It has its final answer, in its limit or not.
+    /// Notes the final answer of a request, and whether it came within the time limit.
     void ended(instant now, exchange_number exchange, bool in_time);
-    /// Its caller left.
+    /// Removes a request, for example after its caller disconnected.
     void left(exchange_number exchange);
-    /// What is to be paused and resumed; asked often, answers at most once in `review`.
+    /// Returns the requests to pause and to resume. May be called often; it decides at most once in `review`.
     [[nodiscard]] auto review(instant now) -> overload_review;
-    /// The process stops: nothing is paused any more, and the next review resumes all that is.
+    /// Stops pausing; the next review resumes everything that is paused.
     void stop() { stopping_ = true; }
 
-    /// How loaded the upstreams of a model are.
+    /// Returns how loaded the upstreams of a model are.
     [[nodiscard]] auto load(instant now, const model_id& model) const -> load_signal;
-    /// Requests in hand.
-    [[nodiscard]] auto size() const -> std::size_t { return held_.size(); }
-    /// Those of them that are paused.
+    /// Returns the number of requests in flight.
+    [[nodiscard]] auto size() const -> std::size_t { return requests_.size(); }
+    /// Returns the number of paused requests.
     [[nodiscard]] auto paused() const -> std::size_t;
 
 private:
-    struct held_work
+    struct tracked_request
     {
         running_work work;
         model_id model;
@@ -92,17 +92,17 @@
         paused_work paused;
     };
 
-    [[nodiscard]] auto offered(instant now, const gateway_input::completion_arrived& asked) const
+    [[nodiscard]] auto describe(instant now, const gateway_input::completion_arrived& asked) const
         -> offered_work;
-    void pause_some(instant now, const load_signal& load, const model_id& model, model_work& held,
-                    overload_review& review);
-    void resume_some(instant now, const load_signal& load, model_work& held, overload_review& review);
+    void pause_running(instant now, const load_signal& load, const model_id& model, model_work& state,
+                       overload_review& review);
+    void resume_paused(instant now, const load_signal& load, model_work& state, overload_review& review);
 
     const upstream_table& upstreams_;
     overload_controller_settings settings_;
-    std::map<model_id, model_work> models_;         // those of the bundle
-    std::map<exchange_number, held_work> held_;     // in step with the requests of the gateway
-    std::map<request_id, exchange_number> by_name_; // in step with held_
+    std::map<model_id, model_work> models_;                     // those of the bundle
+    std::map<exchange_number, tracked_request> requests_;       // one for each request of the gateway
+    std::map<request_id, exchange_number> exchange_by_request_; // one for each entry of requests_
     instant next_review_;
     bool stopping_ = false;
 };
@@ -112,7 +112,7 @@
 extern template class overload_controller<priority_shedding>;
 extern template class overload_controller<contribution_shedding>;
 
-/// The overload decisions that gateways use.
+/// The overload controller that gateways use.
 using gateway_overload = overload_controller<contribution_shedding>;
 
 } // namespace dragonflymill
--- a/src/limit/account_limiter.cpp
+++ b/src/limit/account_limiter.cpp
@@ -30,7 +30,7 @@
     return {code, ran_state::no, retry_after, remedy};
 }
 
-constexpr duration busy_retry = 200ms;
+constexpr duration busy_retry_after = 200ms;
 
 } // namespace
 
@@ -78,19 +78,20 @@
         return refused(refusal_code::account_limit, 0s, "ask the operators for a client account");
     }
     auto& state = track(now, *entry);
-    state.used = now;
+    state.last_used = now;
     state.demand.add(now, std::max(1 / entry->requests_per_second,
                                    static_cast<double>(tokens) / entry->tokens_per_second));
     apply_part(now, *entry, state);
     const auto most = std::max(1.0, std::floor(part_of(now, state) * entry->max_in_flight));
     if (state.in_flight >= most) {
-        return refused(refusal_code::account_limit, busy_retry, "wait for one of the requests under way");
+        return refused(refusal_code::account_limit, busy_retry_after,
+                       "wait for one of the requests under way");
     }
-    if (!state.requests.open(now) || !state.tokens.open(now)) {
+    if (!state.requests.is_open(now) || !state.tokens.is_open(now)) {
         auto wait = std::max(state.requests.wait(), state.tokens.wait());
         if (part_of(now, state) <= 0) {
-            // Another gateway holds all of it: at the end of its lease at the latest the parts are dealt
-            // anew.
+            // Another gateway has leased all of it; the parts are assigned anew at the end of that lease at
+            // the latest.
             wait = std::min(wait, settings_.lease_time);
         }
         return refused(refusal_code::account_limit, wait, "send fewer requests, or ask for a higher limit");
@@ -109,7 +110,7 @@
     }
     auto& state = found->second;
     state.in_flight -= state.in_flight > 0 ? 1 : 0;
-    state.used = now;
+    state.last_used = now;
     state.tokens.take(static_cast<double>(tokens));
 }
 
@@ -121,31 +122,31 @@
     return state.home;
 }
 
-auto account_limiter::ask_due(instant now, tracked& state) const -> bool
+auto account_limiter::is_request_due(instant now, tracked& state) const -> bool
 {
-    if (!state.demand.since_told()) {
-        return false; // a lease that nobody uses runs out
+    if (!state.demand.has_unreported_demand()) {
+        return false; // a lease without requests is left to expire
     }
-    if (!state.asked) {
+    if (!state.requested_at) {
         return true;
     }
-    if (now - *state.asked < settings_.ask_interval) {
+    if (now - *state.requested_at < settings_.request_interval) {
         return false;
     }
-    return now >= state.renew_at || !state.demand.steady(now);
+    return now >= state.renew_at || !state.demand.is_near_reported(now);
 }
 
 auto account_limiter::tick(instant now) -> std::vector<ask_shares>
 {
     std::erase_if(tracked_, [&](const auto& entry) {
-        return entry.second.in_flight == 0 && now - entry.second.used >= settings_.forget_after;
+        return entry.second.in_flight == 0 && now - entry.second.last_used >= settings_.idle_timeout;
     });
     std::map<process_id, std::vector<share_request>> due;
     for (auto& [id, state] : tracked_) {
-        if (ask_due(now, state)) {
-            state.asked = now;
+        if (is_request_due(now, state)) {
+            state.requested_at = now;
             const auto held = state.lease_end > now ? state.part : 0;
-            due[home_of(id, state)].push_back({id, settings_.self, state.demand.tell(now), held});
+            due[home_of(id, state)].push_back({id, settings_.self, state.demand.report(now), held});
         }
     }
     std::vector<ask_shares> asked;
@@ -156,11 +157,12 @@
     return asked;
 }
 
-auto account_limiter::share_asked(instant now, const share_request& request) -> share_grant
+auto account_limiter::grant_share(instant now, const share_request& request) -> share_grant
 {
     if (home(request.account) != settings_.self) {
-        // Two homes at the same time would each grant the whole limit. The one that this process takes for
-        // the home is told; until views agree, leases run out and gateways use their equal part.
+        // Two homes at the same time would each grant the whole limit. The requester receives the gateway
+        // that this process considers the home; until the views agree, leases expire and gateways use their
+        // equal part.
         return {request.account, home(request.account), false, 0, 0s};
     }
     auto grant = home_.grant(now, request, rules(now, request.account));
@@ -172,21 +174,21 @@
 {
     const auto found = tracked_.find(grant.account);
     const auto* entry = entry_of(grant.account);
-    if (found == tracked_.end() || entry == nullptr || !grant.is_home || !found->second.asked) {
+    if (found == tracked_.end() || entry == nullptr || !grant.is_home || !found->second.requested_at) {
         return;
     }
     auto& state = found->second;
-    const bool believable = grant.part >= 0 && grant.part <= 1 && grant.lease <= settings_.lease_time;
-    if (!believable || grant.home != home(grant.account)) {
+    const bool valid = grant.part >= 0 && grant.part <= 1 && grant.lease <= settings_.lease_time;
+    if (!valid || grant.home != home(grant.account)) {
         return;
     }
-    // The lease counts from the asking: an answer that was long under way, or that waited while this process
-    // was paused, must not be used beyond what the home has noted. One that a later answer has overtaken says
-    // what the home no longer holds to.
-    if (asked < state.granted) {
+    // The lease counts from the request: an answer that was delayed, or that waited while this process was
+    // paused, must not be used longer than the home has recorded. An answer overtaken by a later one states a
+    // part that the home no longer reserves.
+    if (asked < state.newest_answer) {
         return;
     }
-    state.granted = asked;
+    state.newest_answer = asked;
     state.part = grant.part;
     state.lease_end = asked + grant.lease;
     state.renew_at = asked + grant.lease / 2;
@@ -214,7 +216,7 @@
 {
     if (tracked_.size() >= settings_.max_accounts && !tracked_.contains(entry.id)) {
         tracked_.erase(std::min_element(tracked_.begin(), tracked_.end(), [](const auto& a, const auto& b) {
-            return a.second.used < b.second.used;
+            return a.second.last_used < b.second.last_used;
         }));
     }
     const auto [found, added] = tracked_.try_emplace(entry.id);
@@ -229,11 +231,12 @@
     return 1.0 / static_cast<double>(configured_);
 }
 
-// Guards against limits that grow when gateways lose each other: it shows as an account that gets its limit
-// once for each part of the partition. Who has no lease uses no more than if all others were there.
+// Guards against limits that grow when gateways lose contact: an account would get its limit once in each
+// part of the partition. A gateway without a lease uses no more than if all the others were present.
 auto account_limiter::part_of(instant now, const tracked& state) const -> double
 {
-    return state.lease_end > now ? std::min(1.0, state.part + settings_.floor * equal_part()) : equal_part();
+    return state.lease_end > now ? std::min(1.0, state.part + settings_.unleased_part * equal_part())
+                                 : equal_part();
 }
 
 auto account_limiter::rules(instant now, const client_account_id& account) const -> share_rules
@@ -242,22 +245,23 @@
     rules.lease = settings_.lease_time;
     rules.equal_part = equal_part();
     if (2 * gateways_.size() <= configured_) {
-        rules.whole = static_cast<double>(gateways_.size()) * equal_part();
+        rules.total = static_cast<double>(gateways_.size()) * equal_part();
     }
-    // Guards against a gateway that joins while another holds the whole on a lease: it would refuse every
-    // request of the account until that lease is dealt anew. What is not leased is everyone's at any time.
-    rules.whole *= 1 - settings_.floor;
-    // Views of who is there differ for a while after a change; another ask interval covers that.
-    const bool recent = now - gateways_changed_ < settings_.lease_time + settings_.ask_interval;
-    rules.only_held_parts = recent && home_among(gateways_before_, account) != settings_.self;
+    // Guards against a gateway that joins while another holds the whole limit on a lease: it would refuse
+    // every request of the account until that lease is assigned anew. The part that is not leased is
+    // available to every gateway at any time.
+    rules.total *= 1 - settings_.unleased_part;
+    // Views of the live gateways differ for a while after a change; one request interval more covers that.
+    const bool recent = now - gateways_changed_ < settings_.lease_time + settings_.request_interval;
+    rules.renewals_only = recent && home_among(gateways_before_, account) != settings_.self;
     return rules;
 }
 
 void account_limiter::apply_part(instant now, const account_entry& entry, tracked& state)
 {
     const auto part = part_of(now, state);
-    state.requests.change(now, entry.requests_per_second * part, settings_.burst);
-    state.tokens.change(now, entry.tokens_per_second * part, settings_.burst);
+    state.requests.set_rate(now, entry.requests_per_second * part, settings_.burst);
+    state.tokens.set_rate(now, entry.tokens_per_second * part, settings_.burst);
 }
 
 } // namespace dragonflymill
--- a/src/serve/gateway_core.cpp
+++ b/src/serve/gateway_core.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr duration not_ready_hint = 1s;
+constexpr duration not_ready_retry_after = 1s;
 
 auto policy_settings(const gateway_core_options& options) -> predicted_first_token_settings
 {
@@ -19,12 +19,12 @@
     return settings;
 }
 
-/// A sidecar that was lost is replaced, or left out of the choice, within about this time.
-constexpr duration broken_retry_hint = 500ms;
+/// A lost sidecar is replaced, or excluded from routing, within about this time.
+constexpr duration lost_sidecar_retry_after = 500ms;
 
-auto broken_refusal(bool sent) -> refusal
+auto connection_lost_refusal(bool sent) -> refusal
 {
-    return {refusal_code::upstream_gone, sent ? ran_state::unknown : ran_state::no, broken_retry_hint,
+    return {refusal_code::upstream_gone, sent ? ran_state::unknown : ran_state::no, lost_sidecar_retry_after,
             "ask again"};
 }
 
@@ -82,14 +82,14 @@
 auto gateway_core::step(instant now, const gateway_event& event) -> std::vector<gateway_action>
 {
     actions_out actions;
-    std::visit([&](const auto& input) { take(now, input, actions); }, event);
-    follow_gangs(now, actions);
-    settle_accounts(now, actions);
-    note_progress(now, actions);
+    std::visit([&](const auto& input) { handle(now, input, actions); }, event);
+    apply_gang_outcomes(now, actions);
+    release_finished_requests(now, actions);
+    update_overload_state(now, actions);
     return actions;
 }
 
-void gateway_core::follow_gangs(instant now, actions_out& actions)
+void gateway_core::apply_gang_outcomes(instant now, actions_out& actions)
 {
     for (auto outcomes = gangs_.take_outcomes(); !outcomes.empty(); outcomes = gangs_.take_outcomes()) {
         for (const auto& outcome : outcomes) {
@@ -109,7 +109,7 @@
     std::vector<share_grant> grants;
     grants.reserve(requests.size());
     for (const auto& request : requests) {
-        grants.push_back(limiter_.share_asked(now, request));
+        grants.push_back(limiter_.grant_share(now, request));
     }
     return grants;
 }
@@ -126,41 +126,41 @@
     return true;
 }
 
-void gateway_core::give_back(instant now, exchange_number exchange, token_count extra)
+void gateway_core::release_admission(instant now, exchange_number exchange, token_count extra)
 {
-    const auto held = admitted_.find(exchange);
-    if (held != admitted_.end()) {
-        limiter_.done(now, held->second.account, extra);
-        admitted_.erase(held);
+    const auto found = admitted_.find(exchange);
+    if (found != admitted_.end()) {
+        limiter_.done(now, found->second.account, extra);
+        admitted_.erase(found);
     }
 }
 
-void gateway_core::settle_accounts(instant now, const actions_out& actions)
+void gateway_core::release_finished_requests(instant now, const actions_out& actions)
 {
     for (const auto& action : actions) {
-        if (const auto* whole = std::get_if<gateway_output::finish>(&action)) {
-            const auto held = admitted_.find(whole->exchange);
-            if (held != admitted_.end()) {
-                const auto taken = held->second.prompt_tokens + whole->tokens;
-                give_back(now, whole->exchange, taken - held->second.tokens);
+        if (const auto* finished = std::get_if<gateway_output::finish>(&action)) {
+            const auto found = admitted_.find(finished->exchange);
+            if (found != admitted_.end()) {
+                const auto taken = found->second.prompt_tokens + finished->tokens;
+                release_admission(now, finished->exchange, taken - found->second.tokens);
             }
         }
         else if (const auto* refused = std::get_if<gateway_output::refuse>(&action)) {
-            give_back(now, refused->exchange, 0);
+            release_admission(now, refused->exchange, 0);
         }
         else if (const auto* answered = std::get_if<gateway_output::answer_service>(&action)) {
-            give_back(now, answered->exchange, 0);
+            release_admission(now, answered->exchange, 0);
         }
         else if (const auto* ticket = std::get_if<gateway_output::give_ticket>(&action)) {
-            give_back(now, ticket->exchange, 0);
+            release_admission(now, ticket->exchange, 0);
         }
         else if (const auto* running = std::get_if<gateway_output::report_running>(&action)) {
-            give_back(now, running->exchange, 0);
+            release_admission(now, running->exchange, 0);
         }
     }
 }
 
-void gateway_core::note_progress(instant now, const actions_out& actions)
+void gateway_core::update_overload_state(instant now, const actions_out& actions)
 {
     for (const auto& action : actions) {
         if (const auto* opened = std::get_if<gateway_output::open_attempt>(&action)) {
@@ -169,11 +169,12 @@
         else if (const auto* tokens = std::get_if<gateway_output::deliver>(&action)) {
             overload_.prefilled(tokens->exchange);
         }
-        else if (const auto* whole = std::get_if<gateway_output::finish>(&action)) {
-            overload_.ended(now, whole->exchange, true);
+        else if (const auto* finished = std::get_if<gateway_output::finish>(&action)) {
+            overload_.ended(now, finished->exchange, true);
         }
         else if (const auto* refused = std::get_if<gateway_output::refuse>(&action)) {
-            // Only a limit that ran out tells something about the class; the rest is about one request.
+            // Only an expired time limit says something about the class; every other refusal concerns one
+            // request.
             if (refused->why.code == refusal_code::deadline) {
                 overload_.ended(now, refused->exchange, false);
             }
@@ -200,13 +201,14 @@
     }
     actions.push_back(gateway_output::refuse{
         exchange,
-        {refusal_code::not_ready, ran_state::no, not_ready_hint, "try another gateway or come back"}});
+        {refusal_code::not_ready, ran_state::no, not_ready_retry_after, "try another gateway or come back"}});
     return true;
 }
 
-// Guards against a request that is begun after its time: it waited for this thread, or the process was paused
-// with it in hand. Its caller has gone on, and would get an answer, or a booking, that it no longer expects.
-auto gateway_core::refuse_if_late(exchange_number exchange, duration remaining, actions_out& actions) -> bool
+// Guards against a request that starts after its time limit, because it waited for this thread or because the
+// process was paused. The caller has given up by then and doesn't expect an answer, or a booking, any more.
+auto gateway_core::refuse_if_expired(exchange_number exchange, duration remaining, actions_out& actions)
+    -> bool
 {
     if (remaining > duration::zero()) {
         return false;
@@ -217,11 +219,11 @@
     return true;
 }
 
-void gateway_core::take(instant now, const gateway_input::completion_arrived& input, actions_out& actions)
+void gateway_core::handle(instant now, const gateway_input::completion_arrived& input, actions_out& actions)
 {
     const auto most_tokens = input.prompt_tokens + input.max_tokens;
     if (refuse_if_not_ready(input.exchange, actions) ||
-        refuse_if_late(input.exchange, input.remaining(), actions) ||
+        refuse_if_expired(input.exchange, input.remaining(), actions) ||
         !admit(now, input.exchange, input.account, most_tokens, actions)) {
         return;
     }
@@ -231,34 +233,34 @@
         actions.push_back(gateway_output::refuse{input.exchange, std::move(*refused)});
     }
     else if (std::holds_alternative<defer_work>(answer)) {
-        completions_.arrived_on_hold(now, input, actions);
+        completions_.arrived_deferred(now, input, actions);
     }
     else {
         completions_.arrived(now, input, actions);
     }
 }
 
-void gateway_core::take(instant now, const gateway_input::service_arrived& input, actions_out& actions)
+void gateway_core::handle(instant now, const gateway_input::service_arrived& input, actions_out& actions)
 {
-    auto timely = input;
-    timely.spec.remaining -= input.waited;
+    auto remaining_call = input;
+    remaining_call.spec.remaining -= input.waited;
     if (!refuse_if_not_ready(input.exchange, actions) &&
-        !refuse_if_late(input.exchange, timely.spec.remaining, actions) &&
+        !refuse_if_expired(input.exchange, remaining_call.spec.remaining, actions) &&
         admit(now, input.exchange, input.spec.account, 0, actions)) {
-        calls_.arrived(now, timely, actions);
+        calls_.arrived(now, remaining_call, actions);
     }
 }
 
-void gateway_core::take(instant now, const gateway_input::caller_left& input, actions_out& actions)
+void gateway_core::handle(instant now, const gateway_input::caller_left& input, actions_out& actions)
 {
     completions_.caller_left(now, input.exchange, actions);
     calls_.caller_left(now, input.exchange);
     overload_.left(input.exchange);
-    give_back(now, input.exchange, 0);
-    say_if_done(actions);
+    release_admission(now, input.exchange, 0);
+    report_if_done(actions);
 }
 
-void gateway_core::take(instant now, const gateway_input::attempt_granted& input, actions_out& actions)
+void gateway_core::handle(instant now, const gateway_input::attempt_granted& input, actions_out& actions)
 {
     if (gang_dispatcher::is_export(input.key)) {
         gangs_.granted(input.key, actions);
@@ -267,66 +269,67 @@
     completions_.granted(now, input.key, actions);
 }
 
-void gateway_core::take(instant now, const gateway_input::attempt_refused& input, actions_out& actions)
+void gateway_core::handle(instant now, const gateway_input::attempt_refused& input, actions_out& actions)
 {
     if (gang_dispatcher::is_export(input.key)) {
         gangs_.refused(now, input, actions);
         return;
     }
     completions_.refused(now, input, actions);
-    say_if_done(actions);
+    report_if_done(actions);
 }
 
-void gateway_core::take(instant now, const gateway_input::attempt_tokens& input, actions_out& actions)
+void gateway_core::handle(instant now, const gateway_input::attempt_tokens& input, actions_out& actions)
 {
     completions_.tokens(now, input, actions);
 }
 
-void gateway_core::take(instant now, const gateway_input::attempt_finished& input, actions_out& actions)
+void gateway_core::handle(instant now, const gateway_input::attempt_finished& input, actions_out& actions)
 {
     if (gang_dispatcher::is_export(input.key)) {
         gangs_.finished(now, input, actions);
         return;
     }
     completions_.finished(now, input, actions);
-    say_if_done(actions);
+    report_if_done(actions);
 }
 
-void gateway_core::take(instant now, const gateway_input::attempt_broken& input, actions_out& actions)
+void gateway_core::handle(instant now, const gateway_input::attempt_broken& input, actions_out& actions)
 {
-    take(now, gateway_input::attempt_refused{input.key, broken_refusal(input.prompt_sent)}, actions);
+    handle(now, gateway_input::attempt_refused{input.key, connection_lost_refusal(input.prompt_sent)},
+           actions);
 }
 
-void gateway_core::take(instant now, const gateway_input::service_answered& input, actions_out& actions)
+void gateway_core::handle(instant now, const gateway_input::service_answered& input, actions_out& actions)
 {
     calls_.answered(now, input, actions);
-    say_if_done(actions);
+    report_if_done(actions);
 }
 
-void gateway_core::take(instant now, const gateway_input::service_refused& input, actions_out& actions)
+void gateway_core::handle(instant now, const gateway_input::service_refused& input, actions_out& actions)
 {
     calls_.refused(now, input, actions);
-    say_if_done(actions);
+    report_if_done(actions);
 }
 
-void gateway_core::take(instant now, const gateway_input::ticket_given& input, actions_out& actions)
+void gateway_core::handle(instant now, const gateway_input::ticket_given& input, actions_out& actions)
 {
     calls_.ticket_given(now, input, actions);
-    say_if_done(actions);
+    report_if_done(actions);
 }
 
-void gateway_core::take(instant now, const gateway_input::service_running& input, actions_out& actions)
+void gateway_core::handle(instant now, const gateway_input::service_running& input, actions_out& actions)
 {
     calls_.running(now, input, actions);
-    say_if_done(actions);
+    report_if_done(actions);
 }
 
-void gateway_core::take(instant now, const gateway_input::load_reported& input, actions_out& /*actions*/)
+void gateway_core::handle(instant now, const gateway_input::load_reported& input, actions_out& /*actions*/)
 {
     routes_.report(now, input.upstream, input.load);
 }
 
-void gateway_core::take(instant now, const gateway_input::upstream_changed& input, actions_out& actions)
+void gateway_core::handle(instant now, const gateway_input::upstream_changed& input, actions_out& actions)
 {
     routes_.table().set_state(input.upstream, input.state);
     if (input.state == upstream_state::dead) {
@@ -334,22 +337,22 @@
     }
 }
 
-void gateway_core::take(instant now, const share_granted& input, actions_out& actions)
+void gateway_core::handle(instant now, const share_granted& input, actions_out& actions)
 {
     gangs_.step(now, input, actions);
 }
 
-void gateway_core::take(instant now, const share_refused& input, actions_out& actions)
+void gateway_core::handle(instant now, const share_refused& input, actions_out& actions)
 {
     gangs_.step(now, input, actions);
 }
 
-void gateway_core::take(instant now, const share_released& input, actions_out& /*actions*/)
+void gateway_core::handle(instant now, const share_released& input, actions_out& /*actions*/)
 {
     gangs_.step(now, input);
 }
 
-void gateway_core::take(instant now, const gateway_input::bundle_adopted& input, actions_out& actions)
+void gateway_core::handle(instant now, const gateway_input::bundle_adopted& input, actions_out& actions)
 {
     in_force_ = input.in_force;
     limiter_.bundle_adopted(now, *in_force_);
@@ -362,7 +365,7 @@
         connect.upstreams.push_back(*entry);
     }
     const auto configured = routes_.table().configure(std::move(chosen));
-    static_cast<void>(configured); // the subset keeps within the table's bound
+    static_cast<void>(configured); // the subset never exceeds the table's bound
     calls_.routes_changed(in_force_->service_routes);
     apply_drains();
     actions.push_back(std::move(connect));
@@ -373,7 +376,7 @@
     auto engines = describe_upstreams(*in_force_);
     const auto is_engine = [](const upstream_description& d) { return d.memory > 0; };
     const auto first_service = std::stable_partition(engines.begin(), engines.end(), is_engine);
-    // Every gateway keeps all plain services: a key's home is one of them all, and no other may run its call.
+    // Every gateway keeps all plain services: a key is owned by one of them, and no other may run its call.
     std::vector<upstream_description> services(first_service, engines.end());
     engines.erase(first_service, engines.end());
     reserve_for_short(options_.reserved_for_short, engines);
@@ -383,7 +386,8 @@
     return chosen;
 }
 
-void gateway_core::take(instant /*now*/, const gateway_input::drains_changed& input, actions_out& /*actions*/)
+void gateway_core::handle(instant /*now*/, const gateway_input::drains_changed& input,
+                          actions_out& /*actions*/)
 {
     drains_ = input;
     if (in_force_) {
@@ -402,63 +406,64 @@
     }
 }
 
-void gateway_core::take(instant now, const gateway_input::gateways_changed& input, actions_out& /*actions*/)
+void gateway_core::handle(instant now, const gateway_input::gateways_changed& input, actions_out& /*actions*/)
 {
     limiter_.gateways_changed(now, input.live, input.configured);
 }
 
-void gateway_core::take(instant now, const gateway_input::shares_granted& input, actions_out& /*actions*/)
+void gateway_core::handle(instant now, const gateway_input::shares_granted& input, actions_out& /*actions*/)
 {
     for (const auto& grant : input.grants) {
         limiter_.share_granted(now, grant, input.asked);
     }
 }
 
-void gateway_core::take(instant now, const gateway_input::stop_requested& /*input*/, actions_out& actions)
+void gateway_core::handle(instant now, const gateway_input::stop_requested& /*input*/, actions_out& actions)
 {
     stopping_ = true;
     overload_.stop();
     review_overload(now, actions);
-    say_if_done(actions);
+    report_if_done(actions);
 }
 
-void gateway_core::take(instant now, const gateway_input::tick& /*input*/, actions_out& actions)
+void gateway_core::handle(instant now, const gateway_input::tick& /*input*/, actions_out& actions)
 {
     completions_.tick(now, actions);
     gangs_.tick(now, actions);
     calls_.tick(now, actions);
     review_overload(now, actions);
-    for (auto& asked : limiter_.tick(now)) {
-        if (asked.home == options_.self) {
-            for (const auto& grant : grant_shares(now, asked.requests)) {
-                limiter_.share_granted(now, grant, asked.asked);
+    for (auto& shares : limiter_.tick(now)) {
+        if (shares.home == options_.self) {
+            for (const auto& grant : grant_shares(now, shares.requests)) {
+                limiter_.share_granted(now, grant, shares.asked);
             }
         }
         else {
-            actions.push_back(gateway_output::request_account_shares{std::move(asked)});
+            actions.push_back(gateway_output::request_account_shares{std::move(shares)});
         }
     }
-    probe_old_loads(now, actions);
-    say_if_done(actions);
+    probe_outdated_loads(now, actions);
+    report_if_done(actions);
 }
 
-void gateway_core::probe_old_loads(instant now, actions_out& actions)
+void gateway_core::probe_outdated_loads(instant now, actions_out& actions)
 {
-    // Only while there is work: an idle gateway needs no load words. The spacing bounds what this costs
-    // however many upstreams there are; words of those that get requests also come with the answers.
-    if (in_flight() == 0 || now < next_probes_) {
+    // Probes are sent only while there is work, since an idle gateway needs no loads. The interval bounds
+    // their cost for any number of upstreams; upstreams that receive requests also report their load with the
+    // answers.
+    if (in_flight() == 0 || now < next_probe_at_) {
         return;
     }
-    next_probes_ = now + options_.probe_spacing;
+    next_probe_at_ = now + options_.probe_interval;
     for (auto& upstream : routes_.table().probes_due(now)) {
         actions.push_back(gateway_output::probe_load{std::move(upstream)});
     }
 }
 
-void gateway_core::say_if_done(actions_out& actions)
+void gateway_core::report_if_done(actions_out& actions)
 {
-    if (stopping_ && in_flight() == 0 && gangs_.releases() == 0 && !said_all_done_) {
-        said_all_done_ = true;
+    if (stopping_ && in_flight() == 0 && gangs_.releases() == 0 && !all_done_sent_) {
+        all_done_sent_ = true;
         actions.push_back(gateway_output::all_done{});
     }
 }
--- a/src/serve/keyed_call_dispatcher.cpp
+++ b/src/serve/keyed_call_dispatcher.cpp
@@ -11,9 +11,9 @@
 namespace {
 
 constexpr std::size_t timers_per_call = 2;
-constexpr duration full_retry_hint = 500ms;
+constexpr duration full_retry_after = 500ms;
 
-/// The routing table knows a plain service's upstreams by their route's name.
+/// The routing table lists a plain service's upstreams under the name of their route.
 auto routing_of(const service_spec& spec, std::vector<upstream_id> excluded) -> route_request
 {
     route_request request;
@@ -56,7 +56,7 @@
         actions.push_back(gateway_output::refuse{input.exchange, std::move(why)});
     };
     if (calls_.size() >= capacity_) {
-        refuse({refusal_code::overloaded, ran_state::no, full_retry_hint, "come back after the time given"});
+        refuse({refusal_code::overloaded, ran_state::no, full_retry_after, "come back after the time given"});
         return;
     }
     if (services_.count(input.spec.route) == 0) {
@@ -64,27 +64,27 @@
             {refusal_code::no_route, ran_state::no, duration::zero(), "ask for a route that is configured"});
         return;
     }
-    auto home = home_for(input.spec);
-    if (!home) {
-        refuse({refusal_code::ticket_unknown, ran_state::no, duration::zero(), home.error().text()});
+    auto owner = owner_for(input.spec);
+    if (!owner) {
+        refuse({refusal_code::ticket_unknown, ran_state::no, duration::zero(), owner.error().text()});
         return;
     }
     const deadline_budget limit(now, input.spec.remaining);
-    const auto timer = timers_.subscribe(limit.end(), wake_key{input.exchange, due::time_limit});
-    DRAGONFLYMILL_ASSERT(timer, "there is a timer for every call that the bound lets in");
+    const auto timer = timers_.subscribe(limit.end(), timer_key{input.exchange, timer_kind::time_limit});
+    DRAGONFLYMILL_ASSERT(timer, "every call within the capacity has its timers");
     const auto made = calls_.emplace(input.exchange, call{input,
                                                           limit,
-                                                          std::move(home.value()),
+                                                          std::move(owner.value()),
                                                           {},
                                                           upstream_id{},
                                                           attempt_number(0),
                                                           false,
                                                           timer.value()});
-    DRAGONFLYMILL_ASSERT(made.second, "the shell numbers each request once");
+    DRAGONFLYMILL_ASSERT(made.second, "exchange numbers are unique");
     dispatch(now, made.first, actions);
 }
 
-auto keyed_call_dispatcher::home_for(const service_spec& spec) const -> result<std::optional<upstream_id>>
+auto keyed_call_dispatcher::owner_for(const service_spec& spec) const -> result<std::optional<upstream_id>>
 {
     if (!spec.ticket.empty()) {
         const auto ticket = tickets_.decode(spec.ticket);
@@ -102,171 +102,172 @@
 
 auto keyed_call_dispatcher::choose(instant now, const call& item) -> route_decision
 {
-    // A ticket is minted by any sidecar: nothing runs for it. Every other call with a home goes there or
-    // nowhere.
-    if (!item.home || item.asked.operation == service_operation::ticket) {
+    // Any sidecar can issue a ticket, since nothing runs for it. Every other call with an owner goes to that
+    // owner or is refused.
+    if (!item.owner || item.asked.operation == service_operation::ticket) {
         return routes_.choose(now, routing_of(item.asked.spec, item.excluded));
     }
-    const auto* record = routes_.table().find(*item.home);
-    const bool only_asks = item.asked.operation == service_operation::status;
+    const auto* record = routes_.table().find(*item.owner);
+    const bool status_only = item.asked.operation == service_operation::status;
     if (record == nullptr || record->state() == upstream_state::dead ||
-        (!only_asks && !record->takes_new_work())) {
+        (!status_only && !record->takes_new_work())) {
         const bool drained =
             record != nullptr && record->state() != upstream_state::dead && record->drained();
-        return route_refusal{drained ? refusal_code::draining : refusal_code::upstream_gone, full_retry_hint};
+        return route_refusal{drained ? refusal_code::draining : refusal_code::upstream_gone,
+                             full_retry_after};
     }
-    return route_choice{*item.home, route_reason::only_candidate};
+    return route_choice{*item.owner, route_reason::only_candidate};
 }
 
-void keyed_call_dispatcher::dispatch(instant now, calls::iterator held, std::vector<gateway_action>& actions)
+void keyed_call_dispatcher::dispatch(instant now, calls::iterator entry, std::vector<gateway_action>& actions)
 {
-    auto& item = held->second;
+    auto& item = entry->second;
     const auto decision = choose(now, item);
     if (const auto* none = std::get_if<route_refusal>(&decision)) {
         const refusal why{none->code, item.sent ? ran_state::unknown : ran_state::no, none->retry_after,
                           "come back after the time given, with the same ticket or key"};
-        actions.push_back(gateway_output::refuse{held->first, why});
-        forget(now, held);
+        actions.push_back(gateway_output::refuse{entry->first, why});
+        remove(now, entry);
         return;
     }
     const auto& choice = std::get<route_choice>(decision);
     item.attempt = attempt_number(item.attempt.value() + 1);
-    const bool noted = routes_.sent(now, routing_of(item.asked.spec, {}), item.attempt, choice);
-    static_cast<void>(noted); // its bound is for the prediction's sake; the sidecar bounds calls itself
-    item.at = choice.upstream;
-    // From here on a byte of the call may leave for the sidecar, and only its word can say "not run".
+    const bool recorded = routes_.sent(now, routing_of(item.asked.spec, {}), item.attempt, choice);
+    static_cast<void>(recorded); // bounds the prediction only; sidecars bound their own calls
+    item.upstream = choice.upstream;
+    // From here on a byte of the call may reach the sidecar, and only the sidecar can report "not run".
     item.sent = true;
     auto spec = item.asked.spec;
     spec.remaining = item.limit.remaining(now);
-    actions.push_back(gateway_output::call_service{choice.upstream, attempt_key{held->first, item.attempt},
+    actions.push_back(gateway_output::call_service{choice.upstream, attempt_key{entry->first, item.attempt},
                                                    item.asked.operation, std::move(spec)});
 }
 
 void keyed_call_dispatcher::answered(instant now, const gateway_input::service_answered& input,
                                      std::vector<gateway_action>& actions)
 {
-    const auto held = find(input.key);
-    if (held == calls_.end()) {
+    const auto entry = find(input.key);
+    if (entry == calls_.end()) {
         return;
     }
     rules_.succeeded();
-    actions.push_back(gateway_output::answer_service{held->first, input.answer, input.replayed});
-    forget(now, held);
+    actions.push_back(gateway_output::answer_service{entry->first, input.answer, input.replayed});
+    remove(now, entry);
 }
 
 void keyed_call_dispatcher::ticket_given(instant now, const gateway_input::ticket_given& input,
                                          std::vector<gateway_action>& actions)
 {
-    const auto held = find(input.key);
-    if (held == calls_.end()) {
+    const auto entry = find(input.key);
+    if (entry == calls_.end()) {
         return;
     }
-    actions.push_back(gateway_output::give_ticket{held->first, input.ticket});
-    forget(now, held);
+    actions.push_back(gateway_output::give_ticket{entry->first, input.ticket});
+    remove(now, entry);
 }
 
 void keyed_call_dispatcher::running(instant now, const gateway_input::service_running& input,
                                     std::vector<gateway_action>& actions)
 {
-    const auto held = find(input.key);
-    if (held == calls_.end()) {
+    const auto entry = find(input.key);
+    if (entry == calls_.end()) {
         return;
     }
-    actions.push_back(gateway_output::report_running{held->first});
-    forget(now, held);
+    actions.push_back(gateway_output::report_running{entry->first});
+    remove(now, entry);
 }
 
 void keyed_call_dispatcher::refused(instant now, const gateway_input::service_refused& input,
                                     std::vector<gateway_action>& actions)
 {
-    const auto held = find(input.key);
-    if (held == calls_.end()) {
+    const auto entry = find(input.key);
+    if (entry == calls_.end()) {
         return;
     }
-    auto& item = held->second;
-    item.excluded.push_back(item.at);
+    auto& item = entry->second;
+    item.excluded.push_back(item.upstream);
     end_attempt(now, item);
     item.sent = item.sent && input.why.ran != ran_state::no;
     const auto others = choose(now, item);
     const failed_attempt failed{
         kind_of(item.asked),  input.why.ran,
         input.why.code,       input.why.retry_after,
-        item.attempt.value(), !item.home && std::holds_alternative<route_choice>(others)};
+        item.attempt.value(), !item.owner && std::holds_alternative<route_choice>(others)};
     const auto decision = rules_.failed(now, failed, item.limit);
     if (const auto* final_answer = std::get_if<refusal>(&decision)) {
-        auto said = *final_answer;
-        said.code = input.why.code;
+        auto answer = *final_answer;
+        answer.code = input.why.code;
         if (!input.why.remedy.empty()) {
-            said.remedy = input.why.remedy;
+            answer.remedy = input.why.remedy;
         }
-        actions.push_back(gateway_output::refuse{held->first, std::move(said)});
-        forget(now, held);
+        actions.push_back(gateway_output::refuse{entry->first, std::move(answer)});
+        remove(now, entry);
         return;
     }
     const auto when = std::get<retry_at>(decision).when;
     if (when <= now) {
-        dispatch(now, held, actions);
+        dispatch(now, entry, actions);
         return;
     }
-    const auto timer = timers_.subscribe(when, wake_key{held->first, due::retry});
-    DRAGONFLYMILL_ASSERT(timer, "there are two timers for each call");
+    const auto timer = timers_.subscribe(when, timer_key{entry->first, timer_kind::retry});
+    DRAGONFLYMILL_ASSERT(timer, "every call has two timers");
     item.retry_timer = timer.value();
 }
 
 void keyed_call_dispatcher::caller_left(instant now, exchange_number exchange)
 {
-    const auto held = calls_.find(exchange);
-    if (held != calls_.end()) {
-        forget(now, held);
+    const auto entry = calls_.find(exchange);
+    if (entry != calls_.end()) {
+        remove(now, entry);
     }
 }
 
 void keyed_call_dispatcher::tick(instant now, std::vector<gateway_action>& actions)
 {
     for (const auto& timer : timers_.advance(now)) {
-        const auto held = calls_.find(timer.key.exchange);
-        if (held == calls_.end()) {
+        const auto entry = calls_.find(timer.key.exchange);
+        if (entry == calls_.end()) {
             continue;
         }
-        if (timer.key.why == due::retry) {
-            held->second.retry_timer.reset();
-            dispatch(now, held, actions);
+        if (timer.key.kind == timer_kind::retry) {
+            entry->second.retry_timer.reset();
+            dispatch(now, entry, actions);
             continue;
         }
-        const auto ran = held->second.sent ? ran_state::unknown : ran_state::no;
+        const auto ran = entry->second.sent ? ran_state::unknown : ran_state::no;
         actions.push_back(gateway_output::refuse{
-            held->first,
+            entry->first,
             {refusal_code::deadline, ran, duration::zero(),
              ran == ran_state::no ? "allow more time" : "ask for its status with the same ticket or key"}});
-        forget(now, held);
+        remove(now, entry);
     }
 }
 
 auto keyed_call_dispatcher::find(const attempt_key& key) -> calls::iterator
 {
-    const auto held = calls_.find(key.exchange);
+    const auto entry = calls_.find(key.exchange);
     const bool current =
-        held != calls_.end() && held->second.attempt == key.attempt && !held->second.at.empty();
-    return current ? held : calls_.end();
+        entry != calls_.end() && entry->second.attempt == key.attempt && !entry->second.upstream.empty();
+    return current ? entry : calls_.end();
 }
 
 void keyed_call_dispatcher::end_attempt(instant now, call& item)
 {
-    routes_.table().finished(now, item.at, item.asked.spec.request, item.attempt);
-    item.at = upstream_id{};
+    routes_.table().finished(now, item.upstream, item.asked.spec.request, item.attempt);
+    item.upstream = upstream_id{};
 }
 
-void keyed_call_dispatcher::forget(instant now, calls::iterator held)
+void keyed_call_dispatcher::remove(instant now, calls::iterator entry)
 {
-    auto& item = held->second;
-    if (!item.at.empty()) {
+    auto& item = entry->second;
+    if (!item.upstream.empty()) {
         end_attempt(now, item);
     }
     timers_.cancel(item.limit_timer);
     if (item.retry_timer) {
         timers_.cancel(*item.retry_timer);
     }
-    calls_.erase(held);
+    calls_.erase(entry);
 }
 
 } // namespace dragonflymill
--- a/src/serve/overload_controller.cpp
+++ b/src/serve/overload_controller.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-auto urgency_of(priority request_priority) -> work_priority
+auto work_priority_of(priority request_priority) -> work_priority
 {
     switch (request_priority) {
     case priority::doorstep:
@@ -48,21 +48,21 @@
 template <overload_policy Policy>
 void overload_controller<Policy>::bundle_adopted(const bundle& in_force)
 {
-    const auto gone = [&in_force](const auto& each) {
+    const auto unlisted = [&in_force](const auto& each) {
         return std::none_of(in_force.models.begin(), in_force.models.end(),
                             [&each](const model_entry& model) { return model.id == each.first; });
     };
-    // A model with paused work stays until that work has ended, whatever the bundle says.
+    // A model with paused work stays until that work has ended, even if the bundle no longer lists it.
     std::erase_if(models_,
-                  [&gone](const auto& each) { return each.second.paused.size() == 0 && gone(each); });
+                  [&unlisted](const auto& each) { return each.second.paused.size() == 0 && unlisted(each); });
     for (const auto& model : in_force.models) {
         const std::uint64_t seed = settings_.seed ^ stable_hash(model.id.text());
-        auto& held =
+        auto& state =
             models_.try_emplace(model.id, model_work{make_policy<Policy>(seed), paused_work(settings_.pause)})
                 .first->second;
-        if constexpr (requires { held.policy.shares(); }) {
+        if constexpr (requires { state.policy.shares(); }) {
             for (const auto& account : in_force.accounts) {
-                held.policy.shares().set_weight(account.id, account.weight);
+                state.policy.shares().set_weight(account.id, account.weight);
             }
         }
     }
@@ -83,7 +83,7 @@
 }
 
 template <overload_policy Policy>
-auto overload_controller<Policy>::offered(instant now, const gateway_input::completion_arrived& asked) const
+auto overload_controller<Policy>::describe(instant now, const gateway_input::completion_arrived& asked) const
     -> offered_work
 {
     token_count memory = 0;
@@ -96,7 +96,7 @@
     }
     return {asked.request,
             asked.account,
-            urgency_of(asked.request_priority),
+            work_priority_of(asked.request_priority),
             classify(asked.prompt_tokens, asked.prompt_tokens + asked.max_tokens, memory),
             cost,
             deadline_budget(now, asked.remaining())};
@@ -108,33 +108,34 @@
 {
     const auto found = models_.find(asked.model);
     if (found == models_.end()) {
-        return admit_work{}; // routing knows why it can't be served
+        return admit_work{}; // routing returns the specific refusal
     }
     auto& model = found->second;
-    const auto offer = offered(now, asked);
-    const running_work all_to_come{offer, offer.cost};
+    const auto offer = describe(now, asked);
+    const running_work full_cost{offer, offer.cost};
     overload_answer answer = admit_work{};
-    // Prompts for several engines are bounded by the engines' own leases: measured, refusing them here as
-    // well gains nothing for the others and starves them.
+    // Prompts for several engines are bounded by the engines' own leases. Refusing them here as well gains
+    // nothing for other requests and starves them.
     auto decided = offer.size == length_class::gang ? admission(admit_work{})
                                                     : model.policy.offer(now, offer, load(now, asked.model));
     if (auto* refused = std::get_if<refusal>(&decided)) {
-        // What may wait and still end in its limit isn't refused, as long as there is room for it.
-        if (stopping_ || !may_pause(now, all_to_come) || !model.paused.add(all_to_come)) {
+        // Work that may wait and still finish within its limit is paused instead of refused, up to the bound
+        // of paused work.
+        if (stopping_ || !may_pause(now, full_cost) || !model.paused.add(full_cost)) {
             return std::move(*refused);
         }
         answer = defer_work{};
     }
-    held_.insert_or_assign(asked.exchange, held_work{all_to_come, asked.model, false});
-    by_name_.insert_or_assign(asked.request, asked.exchange);
+    requests_.insert_or_assign(asked.exchange, tracked_request{full_cost, asked.model, false});
+    exchange_by_request_.insert_or_assign(asked.request, asked.exchange);
     return answer;
 }
 
 template <overload_policy Policy>
 void overload_controller<Policy>::sent(exchange_number exchange)
 {
-    const auto found = held_.find(exchange);
-    if (found != held_.end()) {
+    const auto found = requests_.find(exchange);
+    if (found != requests_.end()) {
         found->second.prefilling = true;
     }
 }
@@ -142,8 +143,8 @@
 template <overload_policy Policy>
 void overload_controller<Policy>::prefilled(exchange_number exchange)
 {
-    const auto found = held_.find(exchange);
-    if (found != held_.end()) {
+    const auto found = requests_.find(exchange);
+    if (found != requests_.end()) {
         found->second.prefilling = false;
     }
 }
@@ -151,8 +152,8 @@
 template <overload_policy Policy>
 void overload_controller<Policy>::ended(instant now, exchange_number exchange, bool in_time)
 {
-    const auto found = held_.find(exchange);
-    if (found == held_.end()) {
+    const auto found = requests_.find(exchange);
+    if (found == requests_.end()) {
         return;
     }
     const auto model = models_.find(found->second.model);
@@ -165,69 +166,69 @@
 template <overload_policy Policy>
 void overload_controller<Policy>::left(exchange_number exchange)
 {
-    const auto found = held_.find(exchange);
-    if (found == held_.end()) {
+    const auto found = requests_.find(exchange);
+    if (found == requests_.end()) {
         return;
     }
-    const auto& name = found->second.work.work.request;
+    const auto& request = found->second.work.work.request;
     const auto model = models_.find(found->second.model);
     if (model != models_.end()) {
-        model->second.paused.remove(name);
+        model->second.paused.remove(request);
     }
-    by_name_.erase(name);
-    held_.erase(found);
+    exchange_by_request_.erase(request);
+    requests_.erase(found);
 }
 
 template <overload_policy Policy>
 auto overload_controller<Policy>::review(instant now) -> overload_review
 {
-    overload_review made;
+    overload_review result;
     if (now < next_review_) {
-        return made;
+        return result;
     }
-    next_review_ = now + settings_.review;
-    for (auto& [model, held] : models_) {
+    next_review_ = now + settings_.review_interval;
+    for (auto& [model, state] : models_) {
         const auto signal = load(now, model);
         if (!stopping_ && signal.excess() > 0.0) {
-            pause_some(now, signal, model, held, made);
+            pause_running(now, signal, model, state, result);
         }
-        resume_some(now, signal, held, made);
+        resume_paused(now, signal, state, result);
     }
-    return made;
+    return result;
 }
 
 template <overload_policy Policy>
-void overload_controller<Policy>::pause_some(instant now, const load_signal& load, const model_id& model,
-                                             model_work& held, overload_review& review)
+void overload_controller<Policy>::pause_running(instant now, const load_signal& load, const model_id& model,
+                                                model_work& state, overload_review& review)
 {
-    // Only before the first token: a pause costs the prefill once more, and decoding takes little.
+    // Only before the first token: a paused request repeats its prefill, and decoding costs little.
     std::vector<running_work> running;
-    for (const auto& [exchange, each] : held_) {
+    for (const auto& [exchange, each] : requests_) {
         if (each.prefilling && each.model == model && each.work.work.size != length_class::gang) {
             running.push_back(each.work);
         }
     }
-    for (const auto& name : held.policy.pause(now, load, running)) {
-        const auto exchange = by_name_.at(name);
-        if (held.paused.add(held_.at(exchange).work)) {
-            held_.at(exchange).prefilling = false;
+    for (const auto& request : state.policy.pause(now, load, running)) {
+        const auto exchange = exchange_by_request_.at(request);
+        if (state.paused.add(requests_.at(exchange).work)) {
+            requests_.at(exchange).prefilling = false;
             review.pause.push_back(exchange);
         }
     }
 }
 
 template <overload_policy Policy>
-void overload_controller<Policy>::resume_some(instant now, const load_signal& load, model_work& held,
-                                              overload_review& review)
+void overload_controller<Policy>::resume_paused(instant now, const load_signal& load, model_work& state,
+                                                overload_review& review)
 {
-    // A stop waits for all that is in hand: what is paused goes on at once then, behind all else by its
-    // priority at the engine.
-    auto due = stopping_ ? held.paused.take_all() : held.paused.due(now, load);
-    // What is past its limit is ended by the limit's own timer.
+    // A stopping gateway waits for everything in flight, so paused work is resumed at once. Its priority
+    // orders it behind other work at the engine.
+    auto due = stopping_ ? state.paused.take_all() : state.paused.due(now, load);
+    // Requests past their time limit are ended by the limit's own timer.
     due.resume.insert(due.resume.end(), due.expire.begin(), due.expire.end());
-    for (const auto& name : due.resume) {
-        const auto found = by_name_.find(name);
-        if (found != by_name_.end()) {
+    for (const auto& request : due.resume) {
+        const auto found = exchange_by_request_.find(request);
+        if (found != exchange_by_request_.end()) {
             review.resume.push_back(found->second);
         }
     }
@@ -237,8 +238,8 @@
 auto overload_controller<Policy>::paused() const -> std::size_t
 {
     std::size_t count = 0;
-    for (const auto& [model, held] : models_) {
-        count += held.paused.size();
+    for (const auto& [model, state] : models_) {
+        count += state.paused.size();
     }
     return count;
 }
--- a/tests/limit/limiter_simulation.h
+++ b/tests/limit/limiter_simulation.h
@@ -8,7 +8,8 @@
 
 namespace dragonflymill::test {
 
-/// Some gateways that serve one account, whose messages reach those on the same side of a partition.
+/// Gateways that serve one account on a virtual clock. Their messages reach only gateways on the same side of
+/// a partition.
 class limiter_simulation
 {
 public:
@@ -45,7 +46,7 @@
         return value;
     }
 
-    /// Each side learns who is on it.
+    /// Updates the membership: each gateway sees the running gateways on its side.
     void spread_membership()
     {
         for (std::size_t at = 0; at < limiters.size(); ++at) {
@@ -59,13 +60,13 @@
         }
     }
 
-    /// Number of the home as gateway `at` sees it.
+    /// Returns the index of the home as gateway `at` sees it.
     [[nodiscard]] auto home(std::size_t at) const -> std::size_t
     {
         return std::stoul(limiters[at].home(account()).text().substr(1));
     }
 
-    /// Requests admitted a second, on average, while `time` passes.
+    /// Advances by `time` and returns the admitted requests a second.
     auto run(duration time) -> double
     {
         admitted = 0;
@@ -84,13 +85,13 @@
 
     instant now{};
     std::vector<account_limiter> limiters;
-    std::vector<double> demand; ///< Requests a second asked of each gateway.
+    std::vector<double> demand; ///< Requests a second that callers send to each gateway.
     std::vector<int> side;
     std::vector<bool> paused;
     std::vector<std::uint64_t> admitted_at;
     std::uint64_t admitted = 0;
     double loss = 0;
-    std::uint64_t asks = 0; ///< Messages with asks.
+    std::uint64_t share_messages = 0; ///< Messages that request shares.
 
 private:
     void step(std::size_t at)
@@ -106,15 +107,15 @@
                 limiters[at].done(now, account(), 0);
             }
         }
-        for (const auto& ask : limiters[at].tick(now)) {
-            const auto home_at = std::stoul(ask.home.text().substr(1));
+        for (const auto& message : limiters[at].tick(now)) {
+            const auto home_at = std::stoul(message.home.text().substr(1));
             const bool reached = side[at] == side[home_at] && !paused[home_at];
-            ++asks;
+            ++share_messages;
             if (!reached || random_.chance(loss)) {
                 continue;
             }
-            for (const auto& request : ask.requests) {
-                limiters[at].share_granted(now, limiters[home_at].share_asked(now, request), ask.asked);
+            for (const auto& request : message.requests) {
+                limiters[at].share_granted(now, limiters[home_at].grant_share(now, request), message.asked);
             }
         }
     }
--- a/tests/serve/gang_simulation.h
+++ b/tests/serve/gang_simulation.h
@@ -15,7 +15,7 @@
 namespace dragonflymill::test {
 
 /// Gateways, sidecars and engines on a virtual clock: the real cores with a fake engine beside each sidecar.
-/// Tries travel on connections that keep their order until they break; calls about shares may be lost.
+/// Messages of attempts keep their order on their connection until it breaks; calls about shares may be lost.
 class gang_simulation
 {
 public:
@@ -35,16 +35,16 @@
             token_offset offset = 0;
         };
         std::map<std::string, token_count> spans;
-        std::vector<work> works;
+        std::vector<work> streams;
         std::uint64_t start = 1;
-        bool loses_releases = false;
-        bool says_cold = false;     // in its next report
-        bool has_leftovers = false; // of a replaced sidecar, or begun before the sidecar saw a restart
+        bool drops_releases = false;
+        bool reports_cold = false;     // in its next report
+        bool has_unknown_work = false; // from a replaced sidecar, or started before the sidecar saw a restart
     };
     struct answer
     {
         token_offset tokens = 0;
-        bool whole = false;
+        bool complete = false;
         std::optional<refusal> refused;
     };
 
@@ -52,7 +52,7 @@
     std::vector<engine> engines;
     std::map<exchange_number, answer> answers;
 
-    /// Sidecars that have just started let in `cold` tokens.
+    /// `cold` is the number of tokens that a sidecar admits just after its start.
     gang_simulation(std::size_t gateways, std::size_t engine_count, std::uint64_t seed = 1,
                     message_bag_rules rules = {}, token_count cold = memory)
         : engines(engine_count)
@@ -62,7 +62,7 @@
         for (std::size_t i = 0; i < engine_count; ++i) {
             sidecars_.emplace_back();
             restart_sidecar(i);
-            engines[i].has_leftovers = false;
+            engines[i].has_unknown_work = false;
         }
         for (std::size_t i = 0; i < gateways; ++i) {
             add_gateway(i);
@@ -70,7 +70,7 @@
         pass(1s);
     }
 
-    void ask(std::size_t gateway, std::uint64_t number, token_count tokens, duration limit = 100s)
+    void request(std::size_t gateway, std::uint64_t number, token_count tokens, duration limit = 100s)
     {
         gateway_input::completion_arrived asked;
         asked.exchange = exchange_number(number);
@@ -81,17 +81,17 @@
         asked.max_tokens = answer_tokens;
         asked.time_limit = limit;
         answers[asked.exchange] = {};
-        asked_at_[asked.exchange] = gateway;
+        gateway_of_[asked.exchange] = gateway;
         feed(gateway, asked);
     }
-    /// The caller leaves.
-    void leave(std::size_t gateway, std::uint64_t number)
+    /// The caller disconnects.
+    void disconnect(std::size_t gateway, std::uint64_t number)
     {
         feed(gateway, gateway_input::caller_left{exchange_number(number)});
     }
     auto answer_of(std::uint64_t number) -> answer& { return answers.at(exchange_number(number)); }
 
-    /// Lets time pass until `reached` is true; whether it was within `longest`.
+    /// Advances time until `reached` returns true; returns whether it did within `longest`.
     template <typename Reached>
     auto pass_until(Reached reached, duration longest = 100s) -> bool
     {
@@ -109,10 +109,10 @@
     }
     auto answered(std::uint64_t number) -> bool
     {
-        return pass_until([&] { return answer_of(number).whole || answer_of(number).refused; });
+        return pass_until([&] { return answer_of(number).complete || answer_of(number).refused; });
     }
 
-    /// The gateway's process dies: its connections break.
+    /// The gateway's process dies and its connections break.
     void kill_gateway(std::size_t gateway)
     {
         gateways_[gateway].reset();
@@ -123,7 +123,7 @@
             }
         }
     }
-    /// The sidecar's process is replaced: its connections break, its engine runs on.
+    /// The sidecar's process is replaced: its connections break and its engine keeps running.
     void restart_sidecar(std::size_t sidecar)
     {
         sidecar_core_options options;
@@ -136,31 +136,31 @@
         options.seed = incarnations_;
         sidecars_[sidecar] = std::make_unique<sidecar_core>(now, options);
         feed_sidecar(sidecar, sidecar_input::capacity_changed{cold_, memory, model_id("m")});
-        engines[sidecar].has_leftovers = true;
+        engines[sidecar].has_unknown_work = true;
         break_calls(sidecar);
     }
-    /// The engine's process dies and comes back empty.
+    /// The engine's process dies and restarts empty.
     void restart_engine(std::size_t number)
     {
         auto& dead = engines[number];
-        const auto works = std::exchange(dead.works, {});
+        const auto streams = std::exchange(dead.streams, {});
         dead.spans.clear();
         ++dead.start;
-        dead.has_leftovers = true;
-        for (const auto& work : works) {
+        dead.has_unknown_work = true;
+        for (const auto& work : streams) {
             sidecar_event lost = sidecar_input::engine_failed{work.call};
             feed_sidecar(number, lost);
         }
     }
-    /// Operators take an upstream out, or bring it back.
+    /// Operators drain an upstream, or return it to service.
     void drain(std::size_t sidecar, bool out) { feed_sidecar(sidecar, sidecar_input::drain_changed{out}); }
-    /// An engine turns cold, and its sidecar hears of it.
+    /// An engine turns cold, and its sidecar is notified.
     void turn_cold(std::size_t number)
     {
         feed_sidecar(number, sidecar_input::capacity_changed{memory / 5, memory, model_id("m")});
-        engines[number].says_cold = true;
+        engines[number].reports_cold = true;
     }
-    /// Connections of tries to the sidecar break on both sides.
+    /// The connections of attempts to the sidecar break on both sides.
     void break_connections(std::size_t sidecar)
     {
         for (auto& [number, call] : calls_) {
@@ -172,16 +172,16 @@
     }
     void change_network(message_bag_rules rules) { share_calls_.change(rules); }
 
-    /// Whether the request's gateway is dead, so that nobody can answer.
-    [[nodiscard]] auto asked_of_dead(exchange_number number) const -> bool
+    /// Returns whether the request's gateway is dead, so that the request can't be answered.
+    [[nodiscard]] auto lost_with_gateway(exchange_number number) const -> bool
     {
-        return !gateways_[asked_at_.at(number)];
+        return !gateways_[gateway_of_.at(number)];
     }
-    /// Engine that computes a span, or decodes the answer of a gang.
+    /// Returns an engine that computes a span, or that decodes the answer of a gang.
     [[nodiscard]] auto busy_engine(bool exporting) const -> std::optional<std::size_t>
     {
         for (std::size_t i = 0; i < engines.size(); ++i) {
-            for (const auto& work : engines[i].works) {
+            for (const auto& work : engines[i].streams) {
                 if (work.spec.share != lease_id{} && work.spec.is_export() == exporting) {
                     return i;
                 }
@@ -189,7 +189,7 @@
         }
         return std::nullopt;
     }
-    /// Tokens that sidecars have promised or engines hold.
+    /// Returns the tokens that sidecars have reserved or engines hold.
     [[nodiscard]] auto held() const -> token_count
     {
         token_count sum = 0;
@@ -206,9 +206,9 @@
     {
         std::size_t gateway = 0;
         std::size_t sidecar = 0;
-        attempt_key key;   // of a try
+        attempt_key key;   // of an attempt
         gang_key gang;     // of a call about a share
-        bool open = false; // a try that has not ended
+        bool open = false; // an attempt that has not ended
     };
     struct message
     {
@@ -227,7 +227,7 @@
         for (const auto& [name, tokens] : each.spans) {
             sum += tokens;
         }
-        for (const auto& work : each.works) {
+        for (const auto& work : each.streams) {
             sum += work.spec.is_export() ? 0 : work.spec.prefill + work.spec.max_tokens;
         }
         return sum;
@@ -284,27 +284,27 @@
             feed(i, gateway_input::tick{});
         }
         if ((now - instant{}) % 200ms == duration::zero()) {
-            report();
+            report_states();
         }
         check_sources();
     }
 
-    void report()
+    void report_states()
     {
         for (std::size_t i = 0; i < engines.size(); ++i) {
-            sidecar_input::engine_reported word;
-            word.status.start = incarnation(engines[i].start);
-            word.status.cold = std::exchange(engines[i].says_cold, false);
-            word.memory_used = memory_of(engines[i]);
+            sidecar_input::engine_reported report;
+            report.status.start = incarnation(engines[i].start);
+            report.status.cold = std::exchange(engines[i].reports_cold, false);
+            report.memory_used = memory_of(engines[i]);
             for (const auto& [name, tokens] : engines[i].spans) {
-                word.held.push_back({name, tokens, true});
+                report.held.push_back({name, tokens, true});
             }
-            for (const auto& work : engines[i].works) {
+            for (const auto& work : engines[i].streams) {
                 if (!work.spec.is_export()) {
-                    word.held.push_back({work.name, 1, false});
+                    report.held.push_back({work.name, 1, false});
                 }
             }
-            feed_sidecar(i, word);
+            feed_sidecar(i, report);
             for (std::size_t g = 0; g < gateways_.size(); ++g) {
                 if (gateways_[g]) {
                     feed_sidecar(i, sidecar_input::gateway_heartbeat{process_id("g" + std::to_string(g))});
@@ -316,45 +316,45 @@
 
     void run_engine(std::size_t number)
     {
-        auto& own = engines[number];
-        std::vector<sidecar_event> said;
-        for (auto& work : own.works) {
+        auto& engine_state = engines[number];
+        std::vector<sidecar_event> events;
+        for (auto& work : engine_state.streams) {
             if (work.due > now) {
                 continue;
             }
             work.due = now + step_length;
             if (work.spec.is_export()) {
                 work.offset = answer_tokens;
-                said.emplace_back(sidecar_input::engine_finished{work.call, work.spec.prompt_tokens,
-                                                                 "exported", std::to_string(number)});
+                events.emplace_back(sidecar_input::engine_finished{work.call, work.spec.prompt_tokens,
+                                                                   "exported", std::to_string(number)});
             }
             else if (work.offset < answer_tokens) {
-                said.emplace_back(sidecar_input::engine_tokens{work.call, work.offset++, {"t"}});
+                events.emplace_back(sidecar_input::engine_tokens{work.call, work.offset++, {"t"}});
             }
             else {
                 ++work.offset;
-                said.emplace_back(sidecar_input::engine_finished{work.call, answer_tokens, "length"});
+                events.emplace_back(sidecar_input::engine_finished{work.call, answer_tokens, "length"});
             }
         }
-        std::erase_if(own.works, [](const auto& work) {
+        std::erase_if(engine_state.streams, [](const auto& work) {
             return work.offset > answer_tokens || (work.spec.is_export() && work.offset == answer_tokens);
         });
-        for (const auto& event : said) {
+        for (const auto& event : events) {
             feed_sidecar(number, event);
         }
     }
 
-    /// An imported span is read at its source for as long as the answer runs.
+    /// Checks that every imported span exists at its source while the answer is decoded.
     void check_sources() const
     {
         for (const auto& each : engines) {
-            for (const auto& work : each.works) {
+            for (const auto& work : each.streams) {
                 for (const auto& import : work.spec.imports) {
                     const auto& source = engines[std::stoul(import.source)];
                     const bool reads = work.offset > 0 && work.offset < answer_tokens;
                     const bool lost = source.start != each.start || orphaned(work.call);
                     cr_assert(!reads || lost || source.spans.count(import.span) != 0,
-                              "%s is read and not held", import.span.c_str());
+                              "span %s is read but not held by its source", import.span.c_str());
                 }
             }
         }
@@ -401,12 +401,12 @@
             }
         }
     }
-    static auto number_of(const upstream_id& upstream) -> std::size_t
+    static auto index_of(const upstream_id& upstream) -> std::size_t
     {
         return std::stoul(upstream.text().substr(1));
     }
 
-    // What a gateway wants done.
+    // Carries out the actions of a gateway.
     template <typename Action>
     void act(std::size_t /*gateway*/, const Action& /*action*/)
     {
@@ -414,8 +414,8 @@
     void act(std::size_t gateway, const gateway_output::open_attempt& action)
     {
         const call_number call(++last_call_);
-        calls_[call] = {gateway, number_of(action.upstream), action.key, {}, true};
-        to_sidecar(number_of(action.upstream), sidecar_input::attempt_opened{call, action.spec});
+        calls_[call] = {gateway, index_of(action.upstream), action.key, {}, true};
+        to_sidecar(index_of(action.upstream), sidecar_input::attempt_opened{call, action.spec});
     }
     void act(std::size_t gateway, const gateway_output::send_prompt& action)
     {
@@ -441,9 +441,9 @@
     }
     void act(std::size_t gateway, const reserve_share& action)
     {
-        const auto given_back = given_back_.find(action.gang.request);
-        cr_assert(given_back == given_back_.end() || given_back->second < action.gang.round,
-                  "a repeated release of a round would end the next one");
+        const auto released = released_rounds_.find(action.gang.request);
+        cr_assert(released == released_rounds_.end() || released->second < action.gang.round,
+                  "a repeated release must not end the next round");
         send_share<sidecar_input::share_requested>(gateway, action, action);
     }
     void act(std::size_t gateway, const renew_share& action)
@@ -452,64 +452,66 @@
     }
     void act(std::size_t gateway, const release_share& action)
     {
-        auto& given_back = given_back_[action.gang.request];
-        given_back = std::max(given_back, action.gang.round);
+        auto& released = released_rounds_[action.gang.request];
+        released = std::max(released, action.gang.round);
         send_share<sidecar_input::share_release_requested>(gateway, action, action.gang);
     }
     template <typename Input, typename Wanted, typename Content>
     void send_share(std::size_t gateway, const Wanted& wanted, const Content& content)
     {
         const call_number call(++last_call_);
-        const auto sidecar = number_of(wanted.upstream);
+        const auto sidecar = index_of(wanted.upstream);
         calls_[call] = {gateway, sidecar, {}, wanted.gang, false};
         const Input input{call, process_id("g" + std::to_string(gateway)), content};
         share_calls_.send(now, message{false, sidecar, sidecar_event(input)});
     }
     void act(std::size_t /*gateway*/, const gateway_output::deliver& action)
     {
-        auto& got = answers.at(action.exchange);
-        cr_assert(got.tokens == action.offset, "tokens come once and in order");
-        got.tokens += static_cast<token_offset>(action.tokens.size());
+        auto& received = answers.at(action.exchange);
+        cr_assert(received.tokens == action.offset, "tokens must arrive once and in order");
+        received.tokens += static_cast<token_offset>(action.tokens.size());
     }
     void act(std::size_t /*gateway*/, const gateway_output::finish& action)
     {
-        auto& got = answers.at(action.exchange);
-        cr_assert(!got.whole && !got.refused && got.tokens == answer_tokens);
-        got.whole = true;
+        auto& received = answers.at(action.exchange);
+        cr_assert(!received.complete && !received.refused && received.tokens == answer_tokens);
+        received.complete = true;
     }
     void act(std::size_t /*gateway*/, const gateway_output::refuse& action)
     {
-        auto& got = answers.at(action.exchange);
-        cr_assert(!got.whole && !got.refused);
-        got.refused = action.why;
+        auto& received = answers.at(action.exchange);
+        cr_assert(!received.complete && !received.refused);
+        received.refused = action.why;
     }
 
-    // What a sidecar wants done.
+    // Carries out the actions of a sidecar.
     template <typename Action>
     void act_sidecar(std::size_t /*sidecar*/, const Action& /*action*/)
     {
     }
     void act_sidecar(std::size_t /*sidecar*/, const sidecar_output::grant_attempt& action)
     {
-        say(action.call, gateway_input::attempt_granted{calls_.at(action.call).key}, false);
+        send_to_caller(action.call, gateway_input::attempt_granted{calls_.at(action.call).key}, false);
     }
     void act_sidecar(std::size_t /*sidecar*/, const sidecar_output::refuse_call& action)
     {
-        say(action.call, gateway_input::attempt_refused{calls_.at(action.call).key, action.why}, true);
+        send_to_caller(action.call, gateway_input::attempt_refused{calls_.at(action.call).key, action.why},
+                       true);
     }
     void act_sidecar(std::size_t /*sidecar*/, const sidecar_output::send_tokens& action)
     {
-        say(action.call,
+        send_to_caller(
+            action.call,
             gateway_input::attempt_tokens{calls_.at(action.call).key, action.offset, action.tokens}, false);
     }
     void act_sidecar(std::size_t /*sidecar*/, const sidecar_output::finish_attempt& action)
     {
-        say(action.call,
-            gateway_input::attempt_finished{calls_.at(action.call).key, action.tokens, action.reason,
-                                            action.source},
-            true);
+        send_to_caller(action.call,
+                       gateway_input::attempt_finished{calls_.at(action.call).key, action.tokens,
+                                                       action.reason, action.source},
+                       true);
     }
-    void say(call_number number, const gateway_event& event, bool last)
+    void send_to_caller(call_number number, const gateway_event& event, bool last)
     {
         auto& call = calls_.at(number);
         if (call.open) {
@@ -519,34 +521,34 @@
     }
     void act_sidecar(std::size_t sidecar, const sidecar_output::start_stream& action)
     {
-        auto& own = engines[sidecar];
+        auto& engine_state = engines[sidecar];
         const token_count need = action.spec.prefill + action.spec.max_tokens;
-        if (memory_of(own) + need > memory) {
-            // A sidecar counts all that it lets in itself.
-            cr_assert(own.has_leftovers, "a sidecar let in more than its engine holds");
+        if (memory_of(engine_state) + need > memory) {
+            // A sidecar accounts for everything that it admitted itself.
+            cr_assert(engine_state.has_unknown_work, "a sidecar admitted more than its engine can hold");
             to_sidecar(sidecar, sidecar_input::engine_failed{action.call, true, true});
             return;
         }
         if (action.spec.is_export()) {
-            own.spans[action.spec.exported_span] = action.spec.prompt_tokens;
+            engine_state.spans[action.spec.exported_span] = action.spec.prompt_tokens;
         }
         for (const auto& import : action.spec.imports) {
-            own.spans[import.span] = (import.end - import.begin) / 64;
+            engine_state.spans[import.span] = (import.end - import.begin) / 64;
         }
-        own.works.push_back(
+        engine_state.streams.push_back(
             {action.call, action.engine_request, action.spec, now + export_time, action.spec.resume_offset});
     }
     void act_sidecar(std::size_t sidecar, const sidecar_output::start_warm_up& action)
     {
-        engines[sidecar].works.push_back(
+        engines[sidecar].streams.push_back(
             {action.call, action.engine_request, action.spec, now + export_time, 0});
     }
     void act_sidecar(std::size_t sidecar, const sidecar_output::cancel_stream& action)
     {
-        auto& own = engines[sidecar];
-        std::erase_if(own.works, [&](const auto& work) {
+        auto& engine_state = engines[sidecar];
+        std::erase_if(engine_state.streams, [&](const auto& work) {
             if (work.name == action.engine_request) {
-                own.spans.erase(work.spec.exported_span);
+                engine_state.spans.erase(work.spec.exported_span);
             }
             return work.name == action.engine_request;
         });
@@ -554,31 +556,32 @@
     }
     void act_sidecar(std::size_t sidecar, const sidecar_output::release_span& action)
     {
-        auto& own = engines[sidecar];
-        if (own.loses_releases) {
+        auto& engine_state = engines[sidecar];
+        if (engine_state.drops_releases) {
             return;
         }
-        own.spans.erase(action.span);
-        std::erase_if(own.works, [&](const auto& work) { return work.spec.exported_span == action.span; });
+        engine_state.spans.erase(action.span);
+        std::erase_if(engine_state.streams,
+                      [&](const auto& work) { return work.spec.exported_span == action.span; });
         to_sidecar(sidecar, sidecar_input::span_released{action.span});
     }
     void act_sidecar(std::size_t sidecar, const sidecar_output::grant_share& action)
     {
         const auto& call = calls_.at(action.call);
-        answer_share(call, share_granted{call.gang, upstream_of(sidecar), action.lease, action.ask});
+        send_share_answer(call, share_granted{call.gang, upstream_of(sidecar), action.lease, action.ask});
     }
     void act_sidecar(std::size_t sidecar, const sidecar_output::refuse_share& action)
     {
         const auto& call = calls_.at(action.call);
-        answer_share(call,
-                     share_refused{call.gang, upstream_of(sidecar), action.why.retry_after, action.in_line});
+        send_share_answer(
+            call, share_refused{call.gang, upstream_of(sidecar), action.why.retry_after, action.in_line});
     }
     void act_sidecar(std::size_t sidecar, const sidecar_output::confirm_share_return& action)
     {
         const auto& call = calls_.at(action.call);
-        answer_share(call, share_released{call.gang, upstream_of(sidecar)});
+        send_share_answer(call, share_released{call.gang, upstream_of(sidecar)});
     }
-    void answer_share(const call_info& call, const gateway_event& event)
+    void send_share_answer(const call_info& call, const gateway_event& event)
     {
         share_calls_.send(now, message{true, call.gateway, event});
     }
@@ -586,8 +589,8 @@
     std::vector<std::unique_ptr<gateway_core>> gateways_;
     std::vector<std::unique_ptr<sidecar_core>> sidecars_;
     std::map<call_number, call_info> calls_;
-    std::map<request_id, attempt_number> given_back_; // the highest round of each request
-    std::map<exchange_number, std::size_t> asked_at_;
+    std::map<request_id, attempt_number> released_rounds_; // highest released round of each request
+    std::map<exchange_number, std::size_t> gateway_of_;
     std::deque<message> connections_;
     token_count cold_;
     message_bag<message> share_calls_;
--- a/tests/serve/gateway_core_fixture.h
+++ b/tests/serve/gateway_core_fixture.h
@@ -7,12 +7,13 @@
 
 namespace dragonflymill::fixture {
 
-/// When the tests begin.
+/// Start time of the tests.
 inline constexpr instant start{1'000s};
-/// Engines of the small bundle.
+/// Number of engines in the small bundle.
 inline constexpr std::uint64_t engine_count = 3;
 
-/// Three engines and three booking services, one of each in each of three failure domains, and one account.
+/// Returns a bundle with three engines and three booking services, one of each in each of three failure
+/// domains, and one account.
 inline auto small_bundle() -> bundle
 {
     bundle made;
@@ -46,7 +47,7 @@
     return made;
 }
 
-/// The gateway that the tests run.
+/// Returns the options of the gateway under test.
 inline auto options() -> gateway_core_options
 {
     gateway_core_options made;
@@ -57,7 +58,7 @@
     return made;
 }
 
-/// A completion of account `a`.
+/// Returns a completion request of account `a`.
 inline auto asked(std::uint64_t number) -> gateway_input::completion_arrived
 {
     gateway_input::completion_arrived made;
@@ -71,7 +72,7 @@
     return made;
 }
 
-/// A booking of account `a`.
+/// Returns a booking call of account `a`.
 inline auto booking(std::uint64_t number, std::string key) -> gateway_input::service_arrived
 {
     gateway_input::service_arrived made;
@@ -85,7 +86,7 @@
     return made;
 }
 
-/// The first action of a kind; null if there is none.
+/// Returns the first action of a type; null if there is none.
 template <typename Action>
 auto find(const std::vector<gateway_action>& actions) -> const Action*
 {
@@ -97,7 +98,7 @@
     return nullptr;
 }
 
-/// Takes in an event whose actions the test doesn't look at.
+/// Passes in an event and ignores its actions.
 inline void feed(gateway_core& core, instant now, const gateway_event& event)
 {
     static_cast<void>(core.step(now, event));
@@ -110,7 +111,7 @@
     feed(core, start, gateway_input::bundle_adopted{std::make_shared<const bundle>(std::move(in_force))});
 }
 
-/// Lets a completion in and gives the try that was opened for it.
+/// Passes in a completion request and returns the attempt that was opened for it.
 inline auto open(gateway_core& core, std::uint64_t number) -> gateway_output::open_attempt
 {
     const auto actions = core.step(start, asked(number));
@@ -119,7 +120,7 @@
     return *opened;
 }
 
-/// The word that a try's connection broke after its prompt was sent.
+/// Returns the event for an attempt whose connection broke after its prompt was sent.
 inline auto lost(const attempt_key& key) -> gateway_input::attempt_broken
 {
     return {key, true};
--- a/tests/serve/gateway_core_test.cpp
+++ b/tests/serve/gateway_core_test.cpp
@@ -3,7 +3,7 @@
 using namespace dragonflymill;
 using namespace dragonflymill::fixture;
 
-Test(gateway_core, an_answer_goes_through_whole)
+Test(gateway_core, delivers_a_complete_answer)
 {
     gateway_core core(start, options());
     adopt(core, small_bundle());
@@ -18,7 +18,7 @@
     cr_assert(core.in_flight() == 0);
 }
 
-Test(gateway_core, without_a_bundle_everything_is_refused_at_once)
+Test(gateway_core, refuses_everything_without_a_bundle)
 {
     gateway_core core(start, options());
     const auto actions = core.step(start, asked(1));
@@ -28,7 +28,7 @@
     cr_assert(refused->why.retry_after > duration::zero());
 }
 
-Test(gateway_core, old_load_words_are_asked_for_only_while_there_is_work_and_within_a_bound)
+Test(gateway_core, probes_outdated_loads_only_while_busy_and_at_a_bounded_rate)
 {
     gateway_core core(start, options());
     adopt(core, small_bundle());
@@ -41,13 +41,13 @@
         }
         return out;
     };
-    cr_assert(probes_until(start, start + 5s) == 0, "an idle gateway asks nobody");
+    cr_assert(probes_until(start, start + 5s) == 0, "an idle gateway must not probe");
     feed(core, start + 5s, asked(1));
-    const auto asked_in_4s = probes_until(start + 5s, start + 9s);
-    cr_assert(asked_in_4s > 0 && asked_in_4s <= 40, "%zu", asked_in_4s);
+    const auto probes_in_4s = probes_until(start + 5s, start + 9s);
+    cr_assert(probes_in_4s > 0 && probes_in_4s <= 40, "%zu", probes_in_4s);
 }
 
-Test(gateway_core, an_account_gets_back_what_it_held_when_a_request_ends)
+Test(gateway_core, releases_the_slot_of_an_account_when_a_request_ends)
 {
     gateway_core core(start, options());
     auto in_force = small_bundle();
@@ -65,8 +65,8 @@
 
 FAULT_CELL(request_resume, process_dies)
 {
-    // A caller reads an answer. After two tokens the sidecar dies with its host. The caller must see the
-    // rest, once: another engine goes on behind the second token, and the first one's late words are dropped.
+    // A sidecar dies with its host after two tokens of an answer. Another engine must continue after the
+    // second token, without repeating any, and late tokens of the first attempt must be dropped.
     gateway_core core(start, options());
     adopt(core, small_bundle());
     const auto first = open(core, 1);
@@ -87,8 +87,8 @@
 
 FAULT_CELL(request_dispatch, two_faults)
 {
-    // Two engines refuse a caller's request one after the other, each cold. It must not wait for its limit:
-    // it goes to the third, and when that one refuses too, the caller is told at once when to come back.
+    // Two cold engines refuse a request one after the other. It must not wait for its time limit: it goes to
+    // the third engine, and when that one refuses as well, the caller is refused with a time to retry after.
     gateway_core core(start, options());
     adopt(core, small_bundle());
     auto opened = open(core, 1);
@@ -116,13 +116,13 @@
     cr_assert(refused != nullptr);
     cr_assert(refused->why.ran == ran_state::no);
     cr_assert(refused->why.retry_after >= 700ms);
-    cr_assert(now - start < 5s, "given up before its limit, and told so at once");
+    cr_assert(now - start < 5s, "must be refused before its time limit");
 }
 
 FAULT_CELL(request_permit, message_late)
 {
-    // A caller leaves while its request waits for a permit. The grant comes late: its prompt would start work
-    // for nobody, so the try is cancelled.
+    // A caller disconnects while its request waits for a permit, and the grant arrives late. The prompt would
+    // start work that nobody waits for, so the attempt must be cancelled.
     gateway_core core(start, options());
     adopt(core, small_bundle());
     const auto opened = open(core, 1);
@@ -135,8 +135,8 @@
 
 FAULT_CELL(request_dispatch, message_late)
 {
-    // A caller's time limit runs out while its engine is silent. It gets its final answer at the limit, the
-    // engine's work is cancelled, and tokens that come later reach nobody.
+    // The time limit expires while the engine sends nothing. The caller must get its final answer at the
+    // limit, the engine's work must be cancelled, and later tokens must be dropped.
     gateway_core core(start, options());
     adopt(core, small_bundle());
     const auto opened = open(core, 1);
@@ -150,8 +150,8 @@
 
 FAULT_CELL(drain_leave, domain_out)
 {
-    // Operators take a failure domain out. A caller's request must not go there any more, also when the
-    // domain has the idlest engine; a newer bundle brings it back.
+    // Operators drain a failure domain. No further request may go there, even if the domain has the engine
+    // with the least load. Drains that are received later replace those of the bundle.
     gateway_core core(start, options());
     auto out = small_bundle();
     out.domains[0].in_service = false;
@@ -170,8 +170,8 @@
 
 FAULT_CELL(ticket_send, partition)
 {
-    // A caller books, and its key's home can't be reached. Another replica is idle and near, but it could not
-    // know whether the home ran an earlier try: two vans would go out. The caller is told "not run" at once.
+    // The owner of a booking's key is unreachable. Another replica can't know whether the owner ran an
+    // earlier attempt, and would make the booking twice. The caller must be refused at once as "not run".
     gateway_core core(start, options());
     adopt(core, small_bundle());
     const auto first = core.step(start, booking(1, "key"));
@@ -187,8 +187,8 @@
 
 FAULT_CELL(ticket_answer, message_lost)
 {
-    // A caller books; the service runs it and the answer is lost on its way to the gateway. The gateway must
-    // not send it again by itself, nor say that it was not run.
+    // The service runs a booking and the answer is lost on its way to the gateway. The gateway must neither
+    // repeat the call nor report that it was not run.
     gateway_core core(start, options());
     adopt(core, small_bundle());
     const auto first = core.step(start, booking(1, "key"));
@@ -201,13 +201,13 @@
 
 FAULT_CELL(ticket_issue, process_dies)
 {
-    // A caller asks for a ticket and the sidecar asked dies. Nothing runs for a ticket, so another sidecar
-    // gives it.
+    // The sidecar dies from which a ticket was requested. Nothing runs for a ticket, so another sidecar must
+    // issue it.
     gateway_core core(start, options());
     adopt(core, small_bundle());
-    auto wish = booking(1, "");
-    wish.operation = service_operation::ticket;
-    const auto first = core.step(start, wish);
+    auto ticket_request = booking(1, "");
+    ticket_request.operation = service_operation::ticket;
+    const auto first = core.step(start, ticket_request);
     const auto* asked_first = find<gateway_output::call_service>(first);
     cr_assert(asked_first != nullptr);
     const refusal gone{refusal_code::upstream_gone, ran_state::unknown, duration::zero(), ""};
@@ -219,7 +219,7 @@
 
 FAULT_CELL(process_stop, two_faults)
 {
-    // A gateway is stopped while a caller reads an answer and its engine is lost. The stop waits for the
+    // A gateway is stopped while an answer is streamed, and its engine is lost. The stop must wait for the
     // whole answer, which another engine finishes.
     gateway_core core(start, options());
     adopt(core, small_bundle());
--- a/tests/serve/gateway_intake_test.cpp
+++ b/tests/serve/gateway_intake_test.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-/// A bundle whose one account may have that many requests at a time.
+/// Returns a bundle whose one account may have `in_flight` requests in flight.
 auto bundle_for(std::uint32_t in_flight) -> bundle
 {
     auto made = small_bundle();
@@ -24,9 +24,9 @@
 
 FAULT_CELL(request_intake, paused_wakes_late)
 {
-    // A booking goes out a minute after its household gave up. The gateway read it, was paused for that
-    // minute, and began it anew with its whole limit when it woke. What is late is refused at once, truly not
-    // run.
+    // A gateway reads a booking and is paused for a minute, longer than its time limit. Starting the call
+    // with its full limit on wake-up would make a booking that its caller has given up. It must be refused at
+    // once as "not run".
     gateway_core core(start, options());
     adopt(core, bundle_for(1));
     auto late = booking(1, "key");
@@ -35,19 +35,20 @@
     cr_assert(find<gateway_output::call_service>(call) == nullptr);
     cr_assert(refusal_of(call).code == refusal_code::deadline);
     cr_assert(refusal_of(call).ran == ran_state::no);
-    auto question = asked(2);
-    question.waited = 60s;
-    cr_assert(refusal_of(core.step(start, question)).ran == ran_state::no);
-    question = asked(3);
-    question.waited = 4s;
-    const auto in_time = core.step(start, question);
+    auto late_request = asked(2);
+    late_request.waited = 60s;
+    cr_assert(refusal_of(core.step(start, late_request)).ran == ran_state::no);
+    late_request = asked(3);
+    late_request.waited = 4s;
+    const auto in_time = core.step(start, late_request);
     cr_assert(find<gateway_output::open_attempt>(in_time)->spec.remaining == 6s);
 }
 
 FAULT_CELL(request_intake, config_down)
 {
-    // A caller reaches a gateway that has just started while the configuration service is down. It is told at
-    // once that nothing was run and when to come back; as soon as a peer has given the bundle it is served.
+    // A request arrives at a gateway that has just started while the configuration service is down. It must
+    // be refused at once as "not run" with a time to retry after, and be served as soon as a peer has sent
+    // the bundle.
     gateway_core core(start, options());
     const auto early = refusal_of(core.step(start, asked(1)));
     cr_assert(early.code == refusal_code::not_ready);
@@ -60,8 +61,8 @@
 
 FAULT_CELL(request_intake, config_stale)
 {
-    // The partners take an account out of the bundle while its request runs. The answer comes whole; what it
-    // asks next is refused as not run.
+    // A new bundle removes an account while its request runs. The answer must be completed; the account's
+    // next request is refused as "not run".
     gateway_core core(start, options());
     adopt(core, small_bundle());
     const auto running = open(core, 1);
@@ -77,8 +78,8 @@
 
 FAULT_CELL(request_intake, domain_out)
 {
-    // Operators take out the failure domain in which this gateway stands. Callers whom the balancer still
-    // sends here must be served, by the engines of the other domains.
+    // Operators drain the gateway's own failure domain. Requests that the load balancer still sends here must
+    // be served by engines of the other domains.
     gateway_core core(start, options());
     adopt(core, small_bundle());
     feed(core, start, gateway_input::drains_changed{{failure_domain_id("d1")}, {}});
@@ -89,16 +90,16 @@
 
 FAULT_CELL(request_intake, upstream_cold)
 {
-    // After a power cut every engine is cold and already carries what it can. A caller is told so at once,
-    // not after its limit, and its account gets its place back.
+    // After a power cut every engine is cold and at its limit. Callers must be refused at once, not at their
+    // time limit, and their account's slot must be released.
     gateway_core core(start, options());
     adopt(core, bundle_for(1));
     for (std::uint64_t i = 1; i <= engine_count; ++i) {
-        gateway_input::load_reported heard{upstream_id("e" + std::to_string(i)), {}};
-        heard.load.cold = true;
-        heard.load.allowed = 100;
-        heard.load.outstanding = 100;
-        feed(core, start, heard);
+        gateway_input::load_reported report{upstream_id("e" + std::to_string(i)), {}};
+        report.load.cold = true;
+        report.load.allowed = 100;
+        report.load.outstanding = 100;
+        feed(core, start, report);
     }
     for (std::uint64_t i = 1; i <= 5; ++i) {
         const auto why = refusal_of(core.step(start, asked(i)));
@@ -110,8 +111,8 @@
 
 FAULT_CELL(request_intake, message_doubled)
 {
-    // A caller's client sends a question twice, as it heard nothing. Both are answered, each from its own
-    // try: the end of one must neither end the other nor give the account's place back twice.
+    // A client repeats a request after receiving nothing. Each copy must be answered from its own attempt:
+    // the end of one must neither end the other nor release the account's slot twice.
     gateway_core core(start, options());
     adopt(core, bundle_for(2));
     const auto first = open(core, 1);
@@ -128,8 +129,8 @@
 
 FAULT_CELL(request_intake, partition)
 {
-    // Every caller of this gateway is cut off at once. What they asked for is cancelled and their account's
-    // places are free again; a caller who leaves a request that was refused before changes nothing.
+    // All callers of this gateway disconnect at once. Their work must be cancelled and their account's slots
+    // released; the disconnect of a caller that was already refused must change nothing.
     gateway_core core(start, options());
     adopt(core, bundle_for(3));
     for (std::uint64_t i = 1; i <= 3; ++i) {
@@ -148,8 +149,8 @@
 
 FAULT_CELL(request_intake, two_faults)
 {
-    // A gateway has all the requests that it can hold when it is stopped and an engine dies. Whoever still
-    // comes is refused at once as not run; the two in hand get their whole answers before the process ends.
+    // A gateway at its maximum of requests is stopped, and an engine dies. New requests must be refused at
+    // once as "not run"; the two in flight must get their whole answers before the process ends.
     auto bounded = options();
     bounded.max_requests = 2;
     gateway_core core(start, bounded);
@@ -173,8 +174,8 @@
 
 FAULT_CELL(request_intake, same_twice)
 {
-    // A gateway is filled to its bound, empties, and is filled again. The second time it must take as many as
-    // the first: a place that isn't given back would be lost until its next start.
+    // A gateway is filled to its maximum, empties, and is filled again. It must accept as many each time: a
+    // slot that isn't released would be lost until the next start.
     auto bounded = options();
     bounded.max_requests = 2;
     gateway_core core(start, bounded);
@@ -190,8 +191,8 @@
 
 FAULT_CELL(request_limit, same_twice)
 {
-    // A caller's connection is reported gone twice. Its account's place must be given back once: otherwise
-    // each such report lets one request more in than the account may have.
+    // A caller's disconnect is reported twice. The account's slot must be released once; otherwise each such
+    // report lets the account exceed its limit by one request.
     gateway_core core(start, options());
     adopt(core, bundle_for(2));
     open(core, 1);
@@ -204,8 +205,8 @@
 
 FAULT_CELL(request_limit, domain_out)
 {
-    // An account's only place is taken by a request whose failure domain goes out. It goes on in another one
-    // as the same request: it takes no second place, and its end frees the first.
+    // The failure domain of an account's only permitted request is drained. The request must continue in
+    // another domain in the same slot, and its end must free that slot.
     gateway_core core(start, options());
     adopt(core, bundle_for(1));
     const auto first = open(core, 1);
@@ -223,9 +224,8 @@
 
 FAULT_CELL(request_limit, config_stale)
 {
-    // The partners lower an account's limit. The home of the account leased its share by the older bundle:
-    // the gateway with the newer one must hold to the newer limit, since a share is a part of it and not a
-    // number.
+    // A new bundle lowers an account's limit after its share was leased under the older one. The gateway must
+    // apply the newer limit, since a share is a fraction and not a number of requests.
     gateway_core core(start, options());
     adopt(core, bundle_for(10));
     open(core, 1);
@@ -241,9 +241,9 @@
 
 FAULT_CELL_MORE(request_dispatch, process_dies, all_sidecars)
 {
-    // A caller is told that its question was not run, but not when to come back, and gives up for good.
-    // Order: the sidecars of a model are lost one after the other before the prompt leaves for any of them.
-    // Cause: the refusal of a lost connection carried no time.
+    // The sidecars of a model are lost one after the other before the prompt is sent to any of them. The
+    // refusal of a lost connection used to carry no time, so the caller was refused as "not run" without a
+    // time to retry after.
     gateway_core core(start, options());
     adopt(core, small_bundle());
     auto actions = core.step(start, asked(1));
--- a/tests/serve/gateway_resume_test.cpp
+++ b/tests/serve/gateway_resume_test.cpp
@@ -7,14 +7,14 @@
 
 const refusal cold{refusal_code::upstream_cold, ran_state::no, 700ms, ""};
 
-/// A caller that has two tokens of its answer; the engine that gave them was lost, and the next one is asked.
-struct resumed_answer
+/// A request that delivered two tokens, lost its engine, and has its second attempt open.
+struct resumed_request
 {
     gateway_core core{start, options()};
     gateway_output::open_attempt first;
     gateway_output::open_attempt second;
 
-    resumed_answer()
+    resumed_request()
     {
         adopt(core, small_bundle());
         first = open(core, 1);
@@ -24,7 +24,7 @@
         cr_assert(second.spec.resume_offset == 2);
     }
 
-    /// The rest comes from a try; the answer must be whole.
+    /// Delivers the rest from an attempt and checks that the answer is complete.
     void finish(const attempt_key& key, instant now)
     {
         const auto rest = core.step(now, gateway_input::attempt_tokens{key, 2, {"c"}});
@@ -39,113 +39,114 @@
 
 FAULT_CELL(request_resume, message_doubled)
 {
-    // The word that an engine is lost comes twice, from its link and from its heartbeat. The answer must be
-    // resumed once: a second try beside the first would cost an engine its prefill for nothing.
-    resumed_answer story;
-    const auto again = story.core.step(start, lost(story.first.key));
+    // The loss of an engine is reported twice, by its link and by its heartbeat. The answer must be resumed
+    // once: a second attempt in parallel would waste an engine's prefill.
+    resumed_request scenario;
+    const auto again = scenario.core.step(start, lost(scenario.first.key));
     cr_assert(find<gateway_output::open_attempt>(again) == nullptr);
     cr_assert(find<gateway_output::cancel_attempt>(again) == nullptr);
-    story.finish(story.second.key, start);
+    scenario.finish(scenario.second.key, start);
 }
 
 FAULT_CELL(request_resume, message_late)
 {
-    // The grant of the try that was given up comes late. Its prompt would start work for nobody; it is
-    // cancelled, and the try that took its place goes on.
-    resumed_answer story;
-    const auto late = story.core.step(start + 1s, gateway_input::attempt_granted{story.first.key});
+    // The grant of an abandoned attempt arrives late. Its prompt would start work that nobody waits for, so
+    // it must be cancelled while the next attempt continues.
+    resumed_request scenario;
+    const auto late = scenario.core.step(start + 1s, gateway_input::attempt_granted{scenario.first.key});
     cr_assert(find<gateway_output::send_prompt>(late) == nullptr);
-    cr_assert(find<gateway_output::cancel_attempt>(late)->key == story.first.key);
-    story.finish(story.second.key, start + 1s);
+    cr_assert(find<gateway_output::cancel_attempt>(late)->key == scenario.first.key);
+    scenario.finish(scenario.second.key, start + 1s);
 }
 
 FAULT_CELL(request_resume, message_reordered)
 {
-    // The tokens behind the resume come in the wrong order, the end first. The caller reads them in order and
-    // gets its end after the last.
-    resumed_answer story;
-    auto& core = story.core;
-    const auto end = core.step(start, gateway_input::attempt_finished{story.second.key, 4, "stop"});
+    // Tokens after a resume arrive out of order, the end first. The caller must receive them in order, and
+    // the end after the last token.
+    resumed_request scenario;
+    auto& core = scenario.core;
+    const auto end = core.step(start, gateway_input::attempt_finished{scenario.second.key, 4, "stop"});
     cr_assert(find<gateway_output::finish>(end) == nullptr);
-    const auto ahead = core.step(start, gateway_input::attempt_tokens{story.second.key, 3, {"d"}});
+    const auto ahead = core.step(start, gateway_input::attempt_tokens{scenario.second.key, 3, {"d"}});
     cr_assert(find<gateway_output::deliver>(ahead) == nullptr);
-    const auto gap = core.step(start, gateway_input::attempt_tokens{story.second.key, 2, {"c"}});
+    const auto gap = core.step(start, gateway_input::attempt_tokens{scenario.second.key, 2, {"c"}});
     cr_assert(find<gateway_output::deliver>(gap)->offset == 2);
     cr_assert(find<gateway_output::finish>(gap)->tokens == 4);
 }
 
 FAULT_CELL(request_resume, message_lost)
 {
-    // Tokens behind the resume are lost on their way and later ones come. The hole doesn't close: after a
-    // while the answer is resumed once more from the caller's last token, and the try with the hole is ended.
-    resumed_answer story;
-    auto& core = story.core;
-    feed(core, start, gateway_input::attempt_granted{story.second.key});
-    feed(core, start, gateway_input::attempt_tokens{story.second.key, 4, {"e"}});
+    // Tokens after a resume are lost and later ones arrive. If the gap stays open, the answer must be resumed
+    // from the last delivered token, and the attempt with the gap cancelled.
+    resumed_request scenario;
+    auto& core = scenario.core;
+    feed(core, start, gateway_input::attempt_granted{scenario.second.key});
+    feed(core, start, gateway_input::attempt_tokens{scenario.second.key, 4, {"e"}});
     const auto waited = core.step(start + 3s, gateway_input::tick{});
-    cr_assert(find<gateway_output::cancel_attempt>(waited)->key == story.second.key);
+    cr_assert(find<gateway_output::cancel_attempt>(waited)->key == scenario.second.key);
     const auto* third = find<gateway_output::open_attempt>(waited);
     cr_assert(third != nullptr);
     cr_assert(third->spec.resume_offset == 2);
-    story.finish(third->key, start + 3s);
+    scenario.finish(third->key, start + 3s);
 }
 
 FAULT_CELL(request_resume, connection_silent)
 {
-    // The connection on which an answer is resumed goes silent: neither grant nor end comes. The caller must
-    // not wait beyond its limit; it is told that the request may have run, and the silent try is cancelled.
-    resumed_answer story;
-    cr_assert(find<gateway_output::refuse>(story.core.step(start + 9s, gateway_input::tick{})) == nullptr);
-    const auto over = story.core.step(start + 10s, gateway_input::tick{});
+    // The connection of a resumed answer goes silent: neither a grant nor an end arrives. The caller must not
+    // wait beyond its time limit; it is refused as possibly run, and the silent attempt is cancelled.
+    resumed_request scenario;
+    cr_assert(find<gateway_output::refuse>(scenario.core.step(start + 9s, gateway_input::tick{})) == nullptr);
+    const auto over = scenario.core.step(start + 10s, gateway_input::tick{});
     cr_assert(find<gateway_output::refuse>(over)->why.code == refusal_code::deadline);
     cr_assert(find<gateway_output::refuse>(over)->why.ran == ran_state::unknown);
-    cr_assert(find<gateway_output::cancel_attempt>(over)->key == story.second.key);
-    cr_assert(story.core.in_flight() == 0);
+    cr_assert(find<gateway_output::cancel_attempt>(over)->key == scenario.second.key);
+    cr_assert(scenario.core.in_flight() == 0);
 }
 
 FAULT_CELL(request_resume, partition)
 {
-    // A gateway is cut off from all sidecars in the middle of an answer. The caller gets its final word at
-    // once, that part of it ran, and when to come back; it isn't left with an open stream until its limit.
-    resumed_answer story;
+    // A gateway is cut off from all sidecars in the middle of an answer. The caller must be refused at once
+    // as possibly run with a time to retry after, instead of keeping an open stream until its time limit.
+    resumed_request scenario;
     for (std::uint64_t i = 1; i <= engine_count; ++i) {
-        feed(story.core, start,
+        feed(scenario.core, start,
              gateway_input::upstream_changed{upstream_id("e" + std::to_string(i)), upstream_state::dead});
     }
-    auto actions = story.core.step(start + 1s, lost(story.second.key));
+    auto actions = scenario.core.step(start + 1s, lost(scenario.second.key));
     auto now = start + 1s;
     while (find<gateway_output::refuse>(actions) == nullptr && now < start + 4s) {
         now += 10ms;
-        actions = story.core.step(now, gateway_input::tick{});
+        actions = scenario.core.step(now, gateway_input::tick{});
     }
-    cr_assert(find<gateway_output::refuse>(actions) != nullptr, "before its limit of ten seconds");
+    cr_assert(find<gateway_output::refuse>(actions) != nullptr,
+              "must be refused before its time limit of ten seconds");
     cr_assert(find<gateway_output::refuse>(actions)->why.ran == ran_state::unknown);
     cr_assert(find<gateway_output::refuse>(actions)->why.retry_after > duration::zero());
-    cr_assert(story.core.in_flight() == 0);
+    cr_assert(scenario.core.in_flight() == 0);
 }
 
 FAULT_CELL(request_resume, host_list_lags)
 {
-    // The host list still shows an engine whose host is gone. The resume goes there, breaks before a byte of
-    // the prompt left, and goes on at the third engine behind the same token.
-    resumed_answer story;
-    const auto again = story.core.step(start, gateway_input::attempt_broken{story.second.key, false});
+    // The host list still contains an engine whose host is gone. The resume goes there and breaks before a
+    // byte of the prompt was sent; it must continue at the third engine from the same token.
+    resumed_request scenario;
+    const auto again = scenario.core.step(start, gateway_input::attempt_broken{scenario.second.key, false});
     const auto* third = find<gateway_output::open_attempt>(again);
     cr_assert(third != nullptr);
-    cr_assert(third->upstream != story.first.upstream);
-    cr_assert(third->upstream != story.second.upstream);
+    cr_assert(third->upstream != scenario.first.upstream);
+    cr_assert(third->upstream != scenario.second.upstream);
     cr_assert(third->spec.resume_offset == 2);
-    story.finish(third->key, start);
+    scenario.finish(third->key, start);
 }
 
 FAULT_CELL(request_resume, upstream_cold)
 {
-    // An answer's engine is lost and the others are cold. The resume is refused there as not run; it is tried
-    // again, and if it is given up the caller hears "may have run": it has a part of the answer.
-    resumed_answer story;
-    auto& core = story.core;
+    // An answer's engine is lost and the others are cold. They refuse the resume as "not run"; it must be
+    // retried, and if it is given up the refusal must be "unknown", since a part of the answer was delivered.
+    resumed_request scenario;
+    auto& core = scenario.core;
     auto now = start;
-    auto actions = core.step(now, gateway_input::attempt_refused{story.second.key, cold});
+    auto actions = core.step(now, gateway_input::attempt_refused{scenario.second.key, cold});
     while (find<gateway_output::refuse>(actions) == nullptr && now < start + 10s) {
         const auto* opened = find<gateway_output::open_attempt>(actions);
         now += 10ms;
@@ -159,8 +160,8 @@
 
 FAULT_CELL(request_dispatch, message_lost)
 {
-    // The sidecar's grant is lost on its way: the gateway never sends the prompt. At its limit the caller is
-    // told so, and the try is cancelled, so that the permit is given back.
+    // The sidecar's grant is lost, so the prompt is never sent. At the time limit the caller must be refused
+    // and the attempt cancelled, so that its permit is released.
     gateway_core core(start, options());
     adopt(core, small_bundle());
     const auto opened = open(core, 1);
@@ -171,7 +172,7 @@
 
 FAULT_CELL(request_dispatch, message_reordered)
 {
-    // The first tokens overtake the word that the try was granted. They are the caller's all the same.
+    // The first tokens overtake the grant of their attempt. They must be delivered nevertheless.
     gateway_core core(start, options());
     adopt(core, small_bundle());
     const auto opened = open(core, 1);
@@ -184,8 +185,8 @@
 
 FAULT_CELL(request_cancel, same_twice)
 {
-    // A caller leaves, and its connection is reported gone once more. The try is cancelled once; the second
-    // report must not end another caller's.
+    // A caller's disconnect is reported twice. Its attempt must be cancelled once, and the second report must
+    // not end another caller's attempt.
     gateway_core core(start, options());
     adopt(core, small_bundle());
     const auto first = open(core, 1);
@@ -198,8 +199,8 @@
 
 FAULT_CELL(request_cancel, two_faults)
 {
-    // A caller leaves in the moment in which its engine is lost. No second engine may begin work for it, in
-    // whichever order the two are heard.
+    // A caller disconnects at the moment its engine is lost. No second engine may begin work for it, in
+    // whichever order the two events arrive.
     gateway_core core(start, options());
     adopt(core, small_bundle());
     const auto first = open(core, 1);
