--- a/tests/limit/account_limiter_test.cpp
+++ b/tests/limit/account_limiter_test.cpp
@@ -164,12 +164,12 @@
     simulation.run(20s);
     std::fill_n(simulation.side.begin(), 4, 1);
     cr_assert(simulation.run(5s) < partition_bound * limit);
-    simulation.update_membership();
+    simulation.spread_membership();
     cr_assert(simulation.run(8s) < partition_bound * limit);
     const auto apart = simulation.run(60s);
     cr_assert(apart < partition_bound * limit && apart > 0.9 * limit, "%f", apart);
     std::fill_n(simulation.side.begin(), 4, 0);
-    simulation.update_membership();
+    simulation.spread_membership();
     cr_assert(simulation.run(8s) < partition_bound * limit);
     simulation.run(8s);
     const auto healed = simulation.run(30s);
@@ -185,7 +185,7 @@
     exceed_limit(simulation);
     simulation.run(20s);
     std::fill_n(simulation.side.begin(), 5, 1);
-    simulation.update_membership();
+    simulation.spread_membership();
     cr_assert(simulation.run(8s) < partition_bound * limit);
     const auto apart = simulation.run(60s);
     cr_assert(apart < 1.05 * limit, "%f", apart);
@@ -217,7 +217,7 @@
     simulation.demand[busy] = 3 * limit;
     simulation.run(20'500ms);
     simulation.paused[home] = true;
-    simulation.update_membership();
+    simulation.spread_membership();
     simulation.demand[next] = 30 * limit;
     const auto just_after = simulation.run(1s);
     cr_assert(just_after < 1.4 * limit, "%f", just_after);
--- a/tests/limit/limiter_simulation.h
+++ b/tests/limit/limiter_simulation.h
@@ -29,7 +29,7 @@
             limiters.emplace_back(settings, now);
             limiters.back().bundle_adopted(now, sample());
         }
-        update_membership();
+        spread_membership();
     }
 
     static auto name(std::size_t at) -> process_id { return process_id("g" + std::to_string(at)); }
@@ -47,7 +47,7 @@
     }
 
     /// Updates the membership: each gateway sees the running gateways on its side.
-    void update_membership()
+    void spread_membership()
     {
         for (std::size_t at = 0; at < limiters.size(); ++at) {
             std::vector<process_id> live;
