--- a/include/dragonflymill/direct/attempt_rules.h
+++ b/include/dragonflymill/direct/attempt_rules.h
@@ -31,7 +31,7 @@
     int attempts_run = 0;      ///< Attempts in which it may have run.
     int rejections = 0;        ///< Attempts that upstreams rejected for reasons of their own.
     int max_attempts = 1;      ///< Maximum number of upstreams that it may run at.
-    duration time_left{};      ///< Time until its deadline or the route's time limit, whichever is first.
+    duration time_left{};      ///< Time until its deadline or the route's time limit.
     bool budget_left = false;  ///< Whether the retry budget allows another attempt.
 
     friend auto operator==(const request_progress&, const request_progress&) -> bool = default;
--- a/include/dragonflymill/direct/gossip_relay.h
+++ b/include/dragonflymill/direct/gossip_relay.h
@@ -81,7 +81,7 @@
     static constexpr int subscribers_at_full_rate = 24;
     /// Interval of batches that contain urgent digests.
     static constexpr duration urgent_flush_interval = 4ms;
-    /// Maximum interval between two batches of a relay, even if empty.
+    /// Maximum interval between two datagrams of a relay to its subscribers.
     static constexpr duration keepalive_interval = 150ms;
     /// Time without a datagram after which a relay is considered failed: three missed keepalives.
     static constexpr duration relay_timeout = 500ms;
--- a/include/dragonflymill/direct/peer_table.h
+++ b/include/dragonflymill/direct/peer_table.h
@@ -44,7 +44,7 @@
 class peer_table
 {
 public:
-    /// Takes this gateway's name and address, and the seed addresses.
+    /// `self` and `address` identify this gateway; `seeds` are the addresses known at the start.
     peer_table(std::string self, std::string address, std::vector<std::string> seeds, int millicores = 0);
 
     /// Applies a digest; returns true if the peer is new. Ignores digests of this process and outdated ones.
--- a/include/dragonflymill/direct/source_outage.h
+++ b/include/dragonflymill/direct/source_outage.h
@@ -8,7 +8,7 @@
 
 /// Distinguishes an outage of the record source from a loss of this process's own connection to it.
 ///
-/// During an outage, entries of upstreams expire because they cannot be renewed, and they reappear soon after
+/// During an outage for all processes, the entries of running upstreams expire, and they reappear soon after
 /// it: removals seen right after an outage may be those of running upstreams. After a connection reset, or
 /// where the source refuses only this host, removals are real; delaying them would send work to draining
 /// upstreams.
--- a/include/dragonflymill/once/once_ledger.h
+++ b/include/dragonflymill/once/once_ledger.h
@@ -258,7 +258,7 @@
     void set_bytes(entry& stored, std::size_t bytes);
     void set_expiry(call_serial serial, entry& stored, instant expires_at);
     void settle(instant now, call_serial serial, entry& stored, call_state state);
-    void forget(call_serial serial);
+    void erase_call(call_serial serial);
     void account_for_process_pause(instant now);
     [[nodiscard]] auto active_time(instant now) const -> instant { return now - paused_time_; }
 
--- a/include/dragonflymill/order/order_tracker.h
+++ b/include/dragonflymill/order/order_tracker.h
@@ -27,15 +27,13 @@
     instant started;                 ///< Start on the monotonic clock.
     duration predecessor_lease = 4s; ///< Maximum time for which a predecessor may still send orders.
     duration reread_delay = 500ms;   ///< Delay after an order before the engine's state is used.
-    duration answer_timeout =
-        60s;                    ///< Time after which an unanswered order is failed and the engine read again.
-    duration load_jitter = 3s;  ///< Random delay of a load, to spread the loads of all replicas.
-    duration retry_base = 1s;   ///< Initial backoff after a failed order.
-    duration retry_limit = 60s; ///< Maximum backoff after failed orders.
+    duration answer_timeout = 60s;   ///< An order unanswered for longer fails and the engine is read again.
+    duration load_jitter = 3s;       ///< Random delay of a load, to spread the loads of all replicas.
+    duration retry_base = 1s;        ///< Initial backoff after a failed order.
+    duration retry_limit = 60s;      ///< Maximum backoff after failed orders.
     double max_loading_fraction = 0.34; ///< Fraction of a model's replicas that may load concurrently.
     duration max_view_age = 15s;        ///< An older replica view is ignored.
-    duration last_replica_wait =
-        120s; ///< Time for which a model's last replica waits for another to be ready.
+    duration last_replica_wait = 120s;  ///< Maximum wait of a model's last replica for another to be ready.
 };
 
 /// State of an engine that the bundle declares.
--- a/include/dragonflymill/stream/stream_joiner.h
+++ b/include/dragonflymill/stream/stream_joiner.h
@@ -111,8 +111,8 @@
 /// Limits of a joiner.
 struct stream_joiner_settings
 {
-    std::size_t max_gap_tokens =
-        4'096; ///< Maximum number of tokens buffered behind a gap; with more, the gap is unlikely to close.
+    /// Maximum number of tokens buffered behind a gap. With more, the gap is assumed not to close.
+    std::size_t max_gap_tokens = 4'096;
     duration gap_wait{2'000'000};   ///< Maximum time for which a gap may stay open.
     std::uint64_t max_attempts = 4; ///< Maximum number of attempts per stream.
 
--- a/src/direct/fleet_records.cpp
+++ b/src/direct/fleet_records.cpp
@@ -69,8 +69,8 @@
     // Removals up to `dropped_through_` are not all known here; only the complete list conveys them.
     update.whole = after == 0 || after < dropped_through_;
     for (const auto& [key, record] : records_) {
-        const bool wanted = update.whole ? !record.removed : record.revision > after;
-        if (wanted) {
+        const bool included = update.whole ? !record.removed : record.revision > after;
+        if (included) {
             update.records.push_back(record);
         }
     }
--- a/src/direct/peer_table.cpp
+++ b/src/direct/peer_table.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Returns a rank for weighted random selection: the lowest rank is selected, in proportion to its weight.
+/// Returns a rank whose lowest value selects a peer with a probability proportional to its weight.
 auto weighted_rank(std::uint64_t draw, int weight) -> double
 {
     constexpr auto most = static_cast<double>(std::numeric_limits<std::uint64_t>::max());
--- a/src/once/once_ledger.cpp
+++ b/src/once/once_ledger.cpp
@@ -371,12 +371,12 @@
             settle(now, serial, found->second, call_state::revoked);
         }
         else {
-            forget(serial);
+            erase_call(serial);
         }
     }
 }
 
-void once_ledger::forget(call_serial serial)
+void once_ledger::erase_call(call_serial serial)
 {
     const auto found = calls_.find(serial);
     bytes_ -= found->second.bytes;
--- a/tests/direct/fleet_config_test.cpp
+++ b/tests/direct/fleet_config_test.cpp
@@ -34,20 +34,20 @@
 
 Test(fleet_config, matches_the_longest_path_prefix_of_the_host)
 {
-    const fleet_config whole = config();
-    cr_assert(whole.match_route("a.example", "/x/y/z")->name == "deep");
-    cr_assert(whole.match_route("a.example", "/x/z")->name == "mid");
-    cr_assert(whole.match_route("a.example", "/x")->name == "whole");
-    cr_assert(whole.match_route("b.example", "/x/y/z") == nullptr);
+    const fleet_config fleet = config();
+    cr_assert(fleet.match_route("a.example", "/x/y/z")->name == "deep");
+    cr_assert(fleet.match_route("a.example", "/x/z")->name == "mid");
+    cr_assert(fleet.match_route("a.example", "/x")->name == "whole");
+    cr_assert(fleet.match_route("b.example", "/x/y/z") == nullptr);
 }
 
 Test(fleet_config, finds_accounts_by_key_and_services_by_name)
 {
-    const fleet_config whole = config();
-    cr_assert(whole.find_account("k2")->name == "acme");
-    cr_assert(whole.find_account("k3") == nullptr);
-    cr_assert(whole.find_service("engines")->max_connections == 10);
-    cr_assert(whole.find_service("other") == nullptr);
+    const fleet_config fleet = config();
+    cr_assert(fleet.find_account("k2")->name == "acme");
+    cr_assert(fleet.find_account("k3") == nullptr);
+    cr_assert(fleet.find_service("engines")->max_connections == 10);
+    cr_assert(fleet.find_service("other") == nullptr);
 }
 
 Test(fleet_config, the_tightest_tbt_target_of_a_service_is_that_of_its_strictest_route)
--- a/tests/order/order_tracker_test.cpp
+++ b/tests/order/order_tracker_test.cpp
@@ -167,7 +167,7 @@
 {
     // The predecessor's clock was ahead, so its fencing number is higher than the successor's. After the wait
     // for its lease the successor uses a higher number; otherwise the engine would reject every order for as
-    // long as the clock difference.
+    // long as the clock was wrong.
     order_tracker successor = ready_tracker();
     const std::uint64_t ahead = (1ULL << 32U) | (start + 50U);
     successor.engine_state_received(view(6s, {}, ahead));
