--- a/src/sidecar/attempt_reactor.cpp
+++ b/src/sidecar/attempt_reactor.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// A prompt may have more bytes than its estimated tokens stand for, but not without end.
-constexpr std::size_t bytes_per_token_limit = 16;
+constexpr std::size_t max_bytes_per_token = 16;
 constexpr std::size_t prompt_slack_bytes = 64 * 1024;
 /// Tokens joined into one event while an earlier one is being written.
 constexpr int max_joined_tokens = 4'096;
@@ -21,14 +21,14 @@
     if (!last.has_tokens() || !next.has_tokens()) {
         return false;
     }
-    auto& held = *last.mutable_tokens();
+    auto& joined = *last.mutable_tokens();
     const auto& added = next.tokens();
-    const bool follows = held.offset() + held.text_size() == added.offset();
-    if (!follows || held.text_size() >= max_joined_tokens) {
+    const bool follows = joined.offset() + joined.text_size() == added.offset();
+    if (!follows || joined.text_size() >= max_joined_tokens) {
         return false;
     }
     for (const auto& text : added.text()) {
-        held.add_text(text);
+        joined.add_text(text);
     }
     return true;
 }
@@ -36,12 +36,12 @@
 } // namespace
 
 auto attempt_reactor::open(grpc::CallbackServerContext* context, call_number call, shell_sink sink,
-                           std::function<void(call_number)> on_gone) -> std::shared_ptr<attempt_reactor>
+                           std::function<void(call_number)> on_done) -> std::shared_ptr<attempt_reactor>
 {
-    std::shared_ptr<attempt_reactor> made(
-        new attempt_reactor(context, call, std::move(sink), std::move(on_gone)));
-    made->self_ = made;
-    return made;
+    std::shared_ptr<attempt_reactor> reactor(
+        new attempt_reactor(context, call, std::move(sink), std::move(on_done)));
+    reactor->self_ = reactor;
+    return reactor;
 }
 
 void attempt_reactor::begin()
@@ -50,11 +50,11 @@
 }
 
 attempt_reactor::attempt_reactor(grpc::CallbackServerContext* context, call_number call, shell_sink sink,
-                                 std::function<void(call_number)> on_gone)
+                                 std::function<void(call_number)> on_done)
     : context_(context)
     , call_(call)
     , sink_(std::move(sink))
-    , on_gone_(std::move(on_gone))
+    , on_done_(std::move(on_done))
 {
 }
 
@@ -112,38 +112,39 @@
         return; // the gateway sends nothing more, or the call is cancelled, which OnCancel tells
     }
     if (!opened_) {
-        read_open();
+        handle_open();
         return;
     }
-    read_prompt();
+    handle_prompt();
 }
 
-void attempt_reactor::read_open()
+void attempt_reactor::handle_open()
 {
     if (!incoming_.has_open()) {
-        refuse_now(refusal_code::internal, "open the call before sending a prompt");
+        refuse(refusal_code::internal, "open the call before sending a prompt");
         return;
     }
     opened_ = true;
     const auto spec = rpc::from_wire(incoming_.open());
-    prompt_limit_ = static_cast<std::size_t>(spec.prompt_tokens) * bytes_per_token_limit + prompt_slack_bytes;
+    max_prompt_bytes_ =
+        static_cast<std::size_t>(spec.prompt_tokens) * max_bytes_per_token + prompt_slack_bytes;
     if (!sink_(sidecar_event(sidecar_input::attempt_opened{call_, spec}))) {
-        refuse_now(refusal_code::overloaded, "try another upstream");
+        refuse(refusal_code::overloaded, "try another upstream");
         return;
     }
     StartRead(&incoming_);
 }
 
-void attempt_reactor::read_prompt()
+void attempt_reactor::handle_prompt()
 {
     auto& piece = *incoming_.mutable_prompt();
     {
         const std::lock_guard lock(mutex_);
         prompt_.append(piece.text());
     }
-    if (prompt_.size() > prompt_limit_) {
+    if (prompt_.size() > max_prompt_bytes_) {
         static_cast<void>(sink_(sidecar_event(sidecar_input::call_cancelled{call_})));
-        refuse_now(refusal_code::too_large, "send as many tokens as announced");
+        refuse(refusal_code::too_large, "send as many tokens as announced");
         return;
     }
     if (!piece.last()) {
@@ -151,11 +152,11 @@
         return;
     }
     if (!sink_(sidecar_event(sidecar_input::prompt_received{call_}))) {
-        refuse_now(refusal_code::overloaded, "try another upstream");
+        refuse(refusal_code::overloaded, "try another upstream");
     }
 }
 
-void attempt_reactor::refuse_now(refusal_code code, const char* remedy)
+void attempt_reactor::refuse(refusal_code code, const char* remedy)
 {
     wire::attempt_event event;
     *event.mutable_refused() = rpc::to_wire(refusal{code, ran_state::no, 100ms, remedy});
@@ -187,7 +188,7 @@
 
 void attempt_reactor::OnDone()
 {
-    on_gone_(call_);
+    on_done_(call_);
     const auto last = std::move(self_);
 }
 
--- a/src/sidecar/attempt_reactor.h
+++ b/src/sidecar/attempt_reactor.h
@@ -18,7 +18,7 @@
 public:
     /// Takes the call over. `on_gone` is called once it is over and nothing more may be sent.
     static auto open(grpc::CallbackServerContext* context, call_number call, shell_sink sink,
-                     std::function<void(call_number)> on_gone) -> std::shared_ptr<attempt_reactor>;
+                     std::function<void(call_number)> on_done) -> std::shared_ptr<attempt_reactor>;
 
     /// Begins to read.
     void begin();
@@ -36,23 +36,23 @@
 
 private:
     attempt_reactor(grpc::CallbackServerContext* context, call_number call, shell_sink sink,
-                    std::function<void(call_number)> on_gone);
+                    std::function<void(call_number)> on_done);
 
-    void read_open();
-    void read_prompt();
-    void refuse_now(refusal_code code, const char* remedy);
+    void handle_open();
+    void handle_prompt();
+    void refuse(refusal_code code, const char* remedy);
     void write_next_locked();
 
     grpc::CallbackServerContext* context_;
     call_number call_;
     shell_sink sink_;
-    std::function<void(call_number)> on_gone_;
+    std::function<void(call_number)> on_done_;
     std::shared_ptr<attempt_reactor> self_; // keeps it alive until OnDone
     wire::attempt_request incoming_;
     std::mutex mutex_;
     std::deque<wire::attempt_event> unsent_;
     std::string prompt_;
-    std::size_t prompt_limit_ = 0;
+    std::size_t max_prompt_bytes_ = 0;
     bool opened_ = false;
     bool writing_ = false;
     bool finishing_ = false;
--- a/src/sidecar/attempt_timeline.h
+++ b/src/sidecar/attempt_timeline.h
@@ -30,18 +30,18 @@
 
 private:
     /// The try that a call carries.
-    struct noted_try
+    struct open_attempt
     {
         request_id request;
         attempt_number attempt;
     };
 
-    void opened(call_number call, const attempt_spec& spec);
-    void answered(call_number call, std::string_view step);
-    void ended(call_number call, std::string_view step, std::string_view detail);
+    void record_open(call_number call, const attempt_spec& spec);
+    void record_grant(call_number call, std::string_view step);
+    void record_end(call_number call, std::string_view step, std::string_view detail);
 
     timeline_recorder& timeline_;
-    std::map<call_number, noted_try> tries_;
+    std::map<call_number, open_attempt> attempts_;
 };
 
 } // namespace dragonflymill::sidecar
--- a/src/sidecar/declared_state.cpp
+++ b/src/sidecar/declared_state.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-auto declared_of(const bundle& in_force, const upstream_entry& own) -> sidecar_input::declared_changed
+auto declared_state_of(const bundle& in_force, const upstream_entry& own) -> sidecar_input::declared_changed
 {
     sidecar_input::declared_changed declared;
     declared.own_address = own.sidecar_address;
--- a/src/sidecar/gate_service.h
+++ b/src/sidecar/gate_service.h
@@ -44,18 +44,18 @@
     /// Answers a service call or a status.
     void answer(call_number call, const wire::service_reply& reply);
     /// Answers a request for a ticket.
-    void give_ticket(call_number call, const std::string& ticket);
+    void send_ticket(call_number call, const std::string& ticket);
     /// Answers a call about a share.
     void answer_share(call_number call, wire::gang_share_reply reply);
 
 private:
-    [[nodiscard]] auto next_call() -> call_number;
+    [[nodiscard]] auto next_call_number() -> call_number;
     template <typename Reply>
     auto open_unary(call_registry<unary_reactor<Reply>>& registry, Reply* reply, call_number call,
                     sidecar_event event) -> grpc::ServerUnaryReactor*;
 
     shell_sink sink_;
-    std::atomic<std::uint64_t> calls_{0};
+    std::atomic<std::uint64_t> last_call_number_{0};
     call_registry<attempt_reactor> attempts_;
     call_registry<unary_reactor<wire::service_reply>> service_calls_;
     call_registry<unary_reactor<wire::ticket_reply>> ticket_calls_;
--- a/src/sidecar/heartbeat_reactor.cpp
+++ b/src/sidecar/heartbeat_reactor.cpp
@@ -6,10 +6,10 @@
 
 auto heartbeat_reactor::open(shell_sink sink) -> std::shared_ptr<heartbeat_reactor>
 {
-    std::shared_ptr<heartbeat_reactor> made(new heartbeat_reactor(std::move(sink)));
-    made->self_ = made;
-    made->StartRead(&made->incoming_);
-    return made;
+    std::shared_ptr<heartbeat_reactor> reactor(new heartbeat_reactor(std::move(sink)));
+    reactor->self_ = reactor;
+    reactor->StartRead(&reactor->incoming_);
+    return reactor;
 }
 
 heartbeat_reactor::heartbeat_reactor(shell_sink sink)
--- a/src/sidecar/order_log.cpp
+++ b/src/sidecar/order_log.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-auto what_of(const engine_order& order) -> std::string
+auto describe_order(const engine_order& order) -> std::string
 {
     switch (order.kind) {
     case order_kind::load_model:
@@ -25,7 +25,7 @@
 
 } // namespace
 
-void order_log::note(const sidecar_event& input)
+void order_log::log(const sidecar_event& input)
 {
     const auto* answer = std::get_if<sidecar_input::order_answered>(&input);
     if (answer == nullptr || answer->how == order_result::done) {
@@ -35,18 +35,18 @@
     log_event(fenced ? event::order_refused : event::order_failed, field("number", answer->number));
 }
 
-void order_log::note(const sidecar_action& action)
+void order_log::log(const sidecar_action& action)
 {
-    if (const auto* given = std::get_if<sidecar_output::send_order>(&action)) {
-        log_event(event::order_sent, field("number", given->number), field("order", what_of(given->order)),
-                  field("fence", given->order.fence.value()));
+    if (const auto* sent = std::get_if<sidecar_output::send_order>(&action)) {
+        log_event(event::order_sent, field("number", sent->number),
+                  field("order", describe_order(sent->order)), field("fence", sent->order.fence.value()));
     }
 }
 
-void order_log::note(bool acts, bool superseded)
+void order_log::log(bool holds_lease, bool superseded)
 {
-    if (acts != std::exchange(acts_, acts)) {
-        log_event(acts ? event::own_lease_held : event::own_lease_ended);
+    if (holds_lease != std::exchange(holds_lease_, holds_lease)) {
+        log_event(holds_lease ? event::own_lease_held : event::own_lease_ended);
     }
     if (superseded && !std::exchange(superseded_, superseded)) {
         log_event(event::orders_stopped);
--- a/src/sidecar/order_log.h
+++ b/src/sidecar/order_log.h
@@ -9,14 +9,14 @@
 {
 public:
     /// Notes an input of the core.
-    static void note(const sidecar_event& input);
+    static void log(const sidecar_event& input);
     /// Notes an output of the core.
-    static void note(const sidecar_action& action);
+    static void log(const sidecar_action& action);
     /// Notes whether the sidecar acts, and whether a later one gives orders to its engine.
-    void note(bool acts, bool superseded);
+    void log(bool holds_lease, bool superseded);
 
 private:
-    bool acts_ = false;
+    bool holds_lease_ = false;
     bool superseded_ = false;
 };
 
--- a/src/sidecar/sidecar_daemon.cpp
+++ b/src/sidecar/sidecar_daemon.cpp
@@ -36,7 +36,7 @@
 
 private:
     [[nodiscard]] auto serve(std::string ticket_key) -> int;
-    [[nodiscard]] auto open_control(sidecar::sidecar_server& shell, std::function<void()> on_superseded)
+    [[nodiscard]] auto open_control(sidecar::sidecar_server& server, std::function<void()> on_superseded)
         -> result<std::unique_ptr<control::daemon_control>>;
 
     const sidecar_settings& settings_;
@@ -80,39 +80,40 @@
             context_.stop();
         });
     };
-    sidecar::sidecar_server shell(
+    sidecar::sidecar_server server(
         settings_, std::move(ticket_key), timeline_, [end] { end(exit_ok); },
         [end] { end(exit_superseded); });
-    auto control = open_control(shell, [end] { end(exit_superseded); });
+    auto control = open_control(server, [end] { end(exit_superseded); });
     if (!control) {
         std::fprintf(stderr, "%s\n", control.error().text().c_str());
         return exit_failed;
     }
-    const auto stop = [&shell, &control] {
+    const auto stop = [&server, &control] {
         log_event(event::sidecar_stopping);
         control.value()->leave();
-        shell.stop();
+        server.stop();
     };
     admin_ = std::make_unique<control::admin_server>(
-        context_, *control.value(), [&shell] { return shell.status(); }, stop);
+        context_, *control.value(), [&server] { return server.status(); }, stop);
     const auto admin_listening = admin_->listen(settings_.admin_listen);
     if (!admin_listening) {
         std::fprintf(stderr, "%s\n", admin_listening.error().text().c_str());
         return exit_failed;
     }
-    shell.start();
+    server.start();
     control.value()->start();
     int port = 0;
-    const auto server = sidecar::start_gate_server(to_text(settings_.grpc_listen), shell.service(), port);
-    if (!server) {
+    const auto grpc_server =
+        sidecar::start_gate_server(to_text(settings_.grpc_listen), server.service(), port);
+    if (!grpc_server) {
         std::fprintf(stderr, "can't listen on %s (choose a free port of this host)\n",
                      to_text(settings_.grpc_listen).c_str());
         control.value()->stop();
-        shell.join();
+        server.join();
         return exit_failed;
     }
     log_event(event::sidecar_started, field("address", to_text(settings_.grpc_listen)));
-    shell.listening();
+    server.listening();
     std::printf("ready grpc %s:%d gossip %s\n", settings_.grpc_listen.ip.c_str(), port,
                 control.value()->gossip_address().c_str());
     std::fflush(stdout);
@@ -124,25 +125,25 @@
     });
     context_.run();
     control.value()->stop();
-    server->Shutdown(std::chrono::system_clock::now() + 1s);
-    shell.join();
+    grpc_server->Shutdown(std::chrono::system_clock::now() + 1s);
+    server.join();
     log_event(event::sidecar_stopped);
     return exit_code_;
 }
 
-auto sidecar_daemon::open_control(sidecar::sidecar_server& shell, std::function<void()> on_superseded)
+auto sidecar_daemon::open_control(sidecar::sidecar_server& server, std::function<void()> on_superseded)
     -> result<std::unique_ptr<control::daemon_control>>
 {
     control::control_plane_handlers handlers;
-    handlers.on_snapshot = [this, &shell](const std::shared_ptr<const control::control_snapshot>& snapshot) {
+    handlers.on_snapshot = [this, &server](const std::shared_ptr<const control::control_snapshot>& snapshot) {
         admin_->note(*snapshot);
         if (snapshot->ready && !std::exchange(was_ready_, true)) {
             log_event(event::sidecar_ready);
         }
-        shell.adopt(*snapshot);
+        server.adopt(*snapshot);
     };
     handlers.on_superseded = std::move(on_superseded);
-    handlers.on_bundle_confirmed = [&shell](instant asked) { shell.bundle_confirmed(asked); };
+    handlers.on_bundle_confirmed = [&server](instant asked) { server.bundle_confirmed(asked); };
     return control::daemon_control::open(
         {process_role::sidecar, settings_.process, settings_.bundle, settings_.control}, std::move(handlers));
 }
--- a/src/sidecar/sidecar_log.cpp
+++ b/src/sidecar/sidecar_log.cpp
@@ -16,24 +16,24 @@
 
 } // namespace
 
-void sidecar_log::note(const sidecar_event& input)
+void sidecar_log::log(const sidecar_event& input)
 {
     if (const auto* report = std::get_if<sidecar_input::engine_reported>(&input)) {
-        reported(*report);
+        log_report(*report);
     }
     else if (const auto* confirmed = std::get_if<sidecar_input::cancel_confirmed>(&input)) {
-        cancels_.erase(confirmed->engine_request);
+        unconfirmed_cancels_.erase(confirmed->engine_request);
         log_event(event::memory_released, field("holding", confirmed->engine_request));
     }
 }
 
-void sidecar_log::note(const sidecar_action& action)
+void sidecar_log::log(const sidecar_action& action)
 {
     if (const auto* refused = std::get_if<sidecar_output::refuse_call>(&action)) {
         log_refusal(refused->why);
     }
     else if (const auto* cancel = std::get_if<sidecar_output::cancel_stream>(&action)) {
-        cancelled(*cancel);
+        log_cancel(*cancel);
     }
     else if (std::holds_alternative<sidecar_output::send_ticket>(action)) {
         log_event(event::ticket_issued);
@@ -45,10 +45,10 @@
     }
 }
 
-void sidecar_log::note(const upstream_load& load)
+void sidecar_log::log(const upstream_load& load)
 {
-    const bool reports = start_ != incarnation{}; // a plain service never does
-    const bool silent = reports && load.age > longest_silence;
+    const bool has_reported = start_ != incarnation{}; // a plain service never does
+    const bool silent = has_reported && load.age > max_silence;
     if (std::exchange(was_silent_, silent) != silent) {
         log_event(silent ? event::upstream_unreachable : event::upstream_answers);
     }
@@ -57,26 +57,26 @@
     }
 }
 
-void sidecar_log::reported(const sidecar_input::engine_reported& report)
+void sidecar_log::log_report(const sidecar_input::engine_reported& report)
 {
     const auto before = std::exchange(start_, report.status.start);
     if (before != incarnation{} && before != start_) {
-        cancels_.clear();
+        unconfirmed_cancels_.clear();
         log_event(event::upstream_restarted, field("start", start_));
     }
 }
 
-void sidecar_log::cancelled(const sidecar_output::cancel_stream& cancel)
+void sidecar_log::log_cancel(const sidecar_output::cancel_stream& cancel)
 {
-    const bool again = cancels_.count(cancel.engine_request) != 0;
+    const bool again = unconfirmed_cancels_.count(cancel.engine_request) != 0;
     if (again) {
         log_event(event::cancel_repeated, field("holding", cancel.engine_request));
     }
     else if (cancel.call == call_number{}) {
         log_event(event::orphan_found, field("holding", cancel.engine_request));
     }
-    if (cancels_.size() < most_cancels) {
-        cancels_.insert(cancel.engine_request);
+    if (unconfirmed_cancels_.size() < max_tracked_cancels) {
+        unconfirmed_cancels_.insert(cancel.engine_request);
     }
 }
 
--- a/src/sidecar/sidecar_log.h
+++ b/src/sidecar/sidecar_log.h
@@ -14,24 +14,24 @@
 {
 public:
     /// Logs what is about to be taken in.
-    void note(const sidecar_event& input);
+    void log(const sidecar_event& input);
     /// Logs what is about to be done.
-    void note(const sidecar_action& action);
+    void log(const sidecar_action& action);
     /// Logs how the upstream's state changed since the last call.
-    void note(const upstream_load& load);
+    void log(const upstream_load& load);
 
     /// An engine whose last report is older does not answer.
-    static constexpr duration longest_silence = 5s;
+    static constexpr duration max_silence = 5s;
 
     /// Cancels without confirmation that are kept track of; further ones are logged once each.
-    static constexpr std::size_t most_cancels = 4'096;
+    static constexpr std::size_t max_tracked_cancels = 4'096;
 
 private:
-    void reported(const sidecar_input::engine_reported& report);
-    void cancelled(const sidecar_output::cancel_stream& cancel);
+    void log_report(const sidecar_input::engine_reported& report);
+    void log_cancel(const sidecar_output::cancel_stream& cancel);
 
     incarnation start_;
-    std::set<std::string> cancels_;
+    std::set<std::string> unconfirmed_cancels_;
     bool was_cold_ = false;
     bool was_silent_ = false;
 };
--- a/src/sidecar/sidecar_probe.cpp
+++ b/src/sidecar/sidecar_probe.cpp
@@ -47,7 +47,7 @@
         : stub_(stub_for(address))
         , events_(std::move(events))
         , calls_(calls)
-        , asked_(runtime::now())
+        , sent_at_(runtime::now())
     {
         ping_.set_number(1);
         ping_.set_sender(self.text());
@@ -63,7 +63,7 @@
     void OnReadDone(bool ok) override
     {
         if (ok) {
-            events_(sidecar_input::sidecar_answered{upstream_id(pong_.upstream()), asked_,
+            events_(sidecar_input::sidecar_answered{upstream_id(pong_.upstream()), sent_at_,
                                                     incarnation(pong_.holder()), models_of(pong_.models()),
                                                     models_of(pong_.loading()), pong_.load().draining()});
             context_.TryCancel();
@@ -79,7 +79,7 @@
     std::unique_ptr<wire::sidecar_gate::Stub> stub_;
     sidecar_probe::sink events_;
     rpc::call_tracker& calls_;
-    instant asked_;
+    instant sent_at_;
     grpc::ClientContext context_;
     wire::heartbeat_ping ping_;
     wire::heartbeat_pong pong_;
@@ -93,7 +93,7 @@
 {
 }
 
-void sidecar_probe::ask(const std::string& address)
+void sidecar_probe::probe(const std::string& address)
 {
     // NOLINTNEXTLINE(cppcoreguidelines-owning-memory): gRPC's way
     new probe_call(address, self_, events_, calls_);
--- a/src/sidecar/sidecar_probe.h
+++ b/src/sidecar/sidecar_probe.h
@@ -20,7 +20,7 @@
     sidecar_probe(process_id self, sink events);
 
     /// Asks the sidecar at `address`.
-    void ask(const std::string& address);
+    void probe(const std::string& address);
 
 private:
     process_id self_;
--- a/src/sidecar/sidecar_server.cpp
+++ b/src/sidecar/sidecar_server.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t ring_capacity = 16 * 1024;
 constexpr duration tick_interval = 20ms;
 constexpr duration status_interval = 250ms;
-constexpr std::uint64_t microseconds_a_second = 1'000'000;
+constexpr std::uint64_t microseconds_per_second = 1'000'000;
 
 /// Text of about that many tokens. It begins with a name that was never used before, so that no engine has
 /// it in its cache.
@@ -34,16 +34,16 @@
 sidecar_server::sidecar_server(const sidecar_settings& settings, std::string ticket_key,
                                timeline_recorder& timeline, std::function<void()> on_all_done,
                                std::function<void()> on_superseded)
-    : self_(settings.upstream.id)
+    : own_upstream_(settings.upstream.id)
     , process_(settings.process.name)
     , timeline_(timeline)
-    , tries_(timeline)
+    , attempt_timeline_(timeline)
     , on_all_done_(std::move(on_all_done))
     , on_superseded_(std::move(on_superseded))
-    , start_(static_cast<std::uint64_t>(runtime::wall_now().time_since_epoch().count()))
+    , incarnation_(static_cast<std::uint64_t>(runtime::wall_now().time_since_epoch().count()))
     , core_(runtime::now(), core_options(settings, std::move(ticket_key)))
-    , decide_(ring_capacity, tick_interval)
-    , gate_([this](shell_event event) { return decide_.post(std::move(event)); })
+    , decision_thread_(ring_capacity, tick_interval)
+    , gate_service_([this](shell_event event) { return decision_thread_.post(std::move(event)); })
     , engine_(upstream_thread_.context(), tcp_endpoint(settings.upstream.address).value(),
               {settings.upstream.connect_timeout, settings.upstream.state_interval},
               [this](sidecar_event event) { post(std::move(event)); })
@@ -51,7 +51,8 @@
                       settings.upstream.connect_timeout,
                       [this](sidecar_event event) { post(std::move(event)); })
     // An answer that finds the ring full is given up: the question is asked again.
-    , probe_(process_, [this](sidecar_event event) { static_cast<void>(decide_.post(std::move(event))); })
+    , probe_(process_,
+             [this](sidecar_event event) { static_cast<void>(decision_thread_.post(std::move(event))); })
 {
 }
 
@@ -63,13 +64,13 @@
     if (settings.upstream.prefill_rate > 0) {
         options.gate.first_token.expected =
             first_token_line{settings.upstream.first_token,
-                             static_cast<double>(microseconds_a_second) / settings.upstream.prefill_rate};
+                             static_cast<double>(microseconds_per_second) / settings.upstream.prefill_rate};
     }
     options.ledger.upstream = settings.upstream.id;
     // No host keeps anything, so a start is numbered by civil time: later starts have higher numbers, and two
     // starts of one sidecar are never a microsecond apart.
-    options.ledger.self = start_;
-    options.start_seconds = static_cast<std::uint32_t>(start_.value() / microseconds_a_second);
+    options.ledger.self = incarnation_;
+    options.start_seconds = static_cast<std::uint32_t>(incarnation_.value() / microseconds_per_second);
     options.ledger.started = runtime::now();
     options.ledger.started_wall = runtime::wall_now();
     options.ledger.ticket_key = std::move(ticket_key);
@@ -84,7 +85,7 @@
 
 void sidecar_server::start()
 {
-    decide_.start([this](std::optional<shell_event> event) { handle(std::move(event)); });
+    decision_thread_.start([this](std::optional<shell_event> event) { handle(std::move(event)); });
     upstream_thread_.start();
 }
 
@@ -96,14 +97,14 @@
     }
     const auto& upstreams = snapshot.in_force->upstreams;
     const auto own = std::find_if(upstreams.begin(), upstreams.end(),
-                                  [this](const upstream_entry& entry) { return entry.id == self_; });
+                                  [this](const upstream_entry& entry) { return entry.id == own_upstream_; });
     if (own == upstreams.end()) {
         post(sidecar_input::drain_changed{true}); // the bundle no longer has it
         return;
     }
-    if (snapshot.in_force != adopted_) {
-        adopted_ = snapshot.in_force;
-        adopt_bundle(*adopted_, *own);
+    if (snapshot.in_force != adopted_bundle_) {
+        adopted_bundle_ = snapshot.in_force;
+        adopt_bundle(*adopted_bundle_, *own);
     }
     post(sidecar_input::drain_changed{!control::accepts_new_work(snapshot, own->domain, own->host)});
 }
@@ -115,7 +116,7 @@
         routes.routes.push_back({route.id, route.upstreams, route.remember_for});
     }
     post(std::move(routes));
-    post(declared_of(in_force, own));
+    post(declared_state_of(in_force, own));
     const auto warm_up_model = own.models.empty() ? model_id{} : own.models.front();
     post(sidecar_input::capacity_changed{own.cold_outstanding, own.max_outstanding, warm_up_model});
     if (own.kind == upstream_kind::engine) {
@@ -134,7 +135,7 @@
 
 void sidecar_server::join()
 {
-    decide_.stop();
+    decision_thread_.stop();
     upstream_thread_.stop();
 }
 
@@ -142,7 +143,7 @@
 {
     // The poster waits for room: it reads from the upstream, which then waits too. Nothing of an answer is
     // lost.
-    static_cast<void>(decide_.post_waiting(std::move(event)));
+    static_cast<void>(decision_thread_.post_waiting(std::move(event)));
 }
 
 void sidecar_server::handle(std::optional<shell_event> event)
@@ -151,22 +152,22 @@
     if (event) {
         if (const auto* heartbeat = std::get_if<heartbeat_event>(&*event)) {
             if (!heartbeat->from_sidecar) {
-                carry_out(core_.step(now, sidecar_input::gateway_heartbeat{heartbeat->gateway}));
+                apply_actions(core_.step(now, sidecar_input::gateway_heartbeat{heartbeat->gateway}));
             }
             answer_heartbeat(*heartbeat);
         }
         else {
             const auto& input = std::get<sidecar_event>(*event);
-            tries_.note(input);
-            log_.note(input);
-            order_log_.note(input);
-            carry_out(core_.step(now, input));
+            attempt_timeline_.note(input);
+            sidecar_log_.log(input);
+            order_log_.log(input);
+            apply_actions(core_.step(now, input));
         }
     }
     if (now - last_tick_ >= tick_interval) {
-        pauses_.tick(now);
+        pause_log_.tick(now);
         last_tick_ = now;
-        carry_out(core_.step(now, sidecar_input::tick{}));
+        apply_actions(core_.step(now, sidecar_input::tick{}));
         publish_status(now);
     }
     if (core_.superseded()) {
@@ -181,7 +182,7 @@
     }
     next_status_ = now + status_interval;
     const auto load = core_.load(now);
-    log_.note(load);
+    sidecar_log_.log(load);
     process_status status;
     status.process = process_;
     status.role = "sidecar";
@@ -191,9 +192,9 @@
     if (load.draining) {
         state = "drained";
     }
-    status.upstreams.push_back({self_, state, load.outstanding, load.allowed});
+    status.upstreams.push_back({own_upstream_, state, load.outstanding, load.allowed});
     status_.set(std::move(status));
-    order_log_.note(core_.holds_own_lease(now), core_.orders().superseded());
+    order_log_.log(core_.holds_own_lease(now), core_.orders().superseded());
 }
 
 void sidecar_server::answer_heartbeat(const heartbeat_event& event)
@@ -203,8 +204,8 @@
     pong.set_sender(process_.text());
     *pong.mutable_load() = rpc::to_wire(core_.load(runtime::now()));
     if (event.from_sidecar) {
-        pong.set_upstream(self_.text());
-        pong.set_holder(start_.value());
+        pong.set_upstream(own_upstream_.text());
+        pong.set_holder(incarnation_.value());
         for (const auto& model : core_.orders().models()) {
             pong.add_models(model.text());
         }
@@ -215,19 +216,19 @@
     event.connection->answer(std::move(pong));
 }
 
-void sidecar_server::carry_out(const std::vector<sidecar_action>& actions)
+void sidecar_server::apply_actions(const std::vector<sidecar_action>& actions)
 {
     for (const auto& action : actions) {
-        tries_.note(action);
-        log_.note(action);
-        order_log_.note(action);
-        std::visit([this](const auto& what) { act(what); }, action);
+        attempt_timeline_.note(action);
+        sidecar_log_.log(action);
+        order_log_.log(action);
+        std::visit([this](const auto& what) { apply(what); }, action);
     }
 }
 
-void sidecar_server::act(const sidecar_output::grant_attempt& action)
+void sidecar_server::apply(const sidecar_output::grant_attempt& action)
 {
-    if (const auto call = gate_.find_attempt(action.call)) {
+    if (const auto call = gate_service_.find_attempt(action.call)) {
         wire::attempt_event event;
         event.mutable_granted()->set_lease(action.lease.value());
         *event.mutable_load() = rpc::to_wire(core_.load(runtime::now()));
@@ -235,14 +236,14 @@
     }
 }
 
-void sidecar_server::act(const sidecar_output::refuse_call& action)
+void sidecar_server::apply(const sidecar_output::refuse_call& action)
 {
-    gate_.refuse(action.call, action.why, core_.load(runtime::now()));
+    gate_service_.refuse(action.call, action.why, core_.load(runtime::now()));
 }
 
-void sidecar_server::act(const sidecar_output::start_stream& action)
+void sidecar_server::apply(const sidecar_output::start_stream& action)
 {
-    const auto call = gate_.find_attempt(action.call);
+    const auto call = gate_service_.find_attempt(action.call);
     if (!call) {
         return; // it was cancelled meanwhile, and the core hears of it next
     }
@@ -251,7 +252,7 @@
                       [this, action, prompt = call->take_prompt()] { engine_.start_stream(action, prompt); });
 }
 
-void sidecar_server::act(const sidecar_output::start_warm_up& action)
+void sidecar_server::apply(const sidecar_output::start_warm_up& action)
 {
     timeline_.record(action.spec.request, "warm_up", std::to_string(action.spec.prompt_tokens) + " tokens");
     const sidecar_output::start_stream stream{action.call, action.engine_request, action.spec,
@@ -261,9 +262,9 @@
     });
 }
 
-void sidecar_server::act(const sidecar_output::send_tokens& action)
+void sidecar_server::apply(const sidecar_output::send_tokens& action)
 {
-    if (const auto call = gate_.find_attempt(action.call)) {
+    if (const auto call = gate_service_.find_attempt(action.call)) {
         wire::attempt_event event;
         event.mutable_tokens()->set_offset(action.offset);
         for (const auto& text : action.tokens) {
@@ -273,9 +274,9 @@
     }
 }
 
-void sidecar_server::act(const sidecar_output::finish_attempt& action)
+void sidecar_server::apply(const sidecar_output::finish_attempt& action)
 {
-    if (const auto call = gate_.find_attempt(action.call)) {
+    if (const auto call = gate_service_.find_attempt(action.call)) {
         wire::attempt_event event;
         event.mutable_finished()->set_tokens(action.tokens);
         event.mutable_finished()->set_reason(action.reason);
@@ -285,46 +286,46 @@
     }
 }
 
-void sidecar_server::act(const sidecar_output::cancel_stream& action)
+void sidecar_server::apply(const sidecar_output::cancel_stream& action)
 {
     boost::asio::post(upstream_thread_.context(), [this, action] { engine_.cancel_stream(action); });
 }
 
-void sidecar_server::act(const sidecar_output::release_span& action)
+void sidecar_server::apply(const sidecar_output::release_span& action)
 {
     boost::asio::post(upstream_thread_.context(), [this, action] { engine_.release_span(action.span); });
 }
 
-void sidecar_server::act(const sidecar_output::grant_share& action)
+void sidecar_server::apply(const sidecar_output::grant_share& action)
 {
     wire::gang_share_reply reply;
     reply.set_lease(action.lease.value());
     reply.set_ask(action.ask);
     *reply.mutable_load() = rpc::to_wire(core_.load(runtime::now()));
-    gate_.answer_share(action.call, std::move(reply));
+    gate_service_.answer_share(action.call, std::move(reply));
 }
 
-void sidecar_server::act(const sidecar_output::refuse_share& action)
+void sidecar_server::apply(const sidecar_output::refuse_share& action)
 {
     wire::gang_share_reply reply;
     *reply.mutable_refused() = rpc::to_wire(action.why);
     reply.set_in_line(action.in_line);
     *reply.mutable_load() = rpc::to_wire(core_.load(runtime::now()));
-    gate_.answer_share(action.call, std::move(reply));
+    gate_service_.answer_share(action.call, std::move(reply));
 }
 
-void sidecar_server::act(const sidecar_output::confirm_share_return& action)
+void sidecar_server::apply(const sidecar_output::confirm_share_return& action)
 {
-    gate_.answer_share(action.call, wire::gang_share_reply{});
+    gate_service_.answer_share(action.call, wire::gang_share_reply{});
 }
 
-void sidecar_server::act(const sidecar_output::run_service& action)
+void sidecar_server::apply(const sidecar_output::run_service& action)
 {
     timeline_.record(action.spec.request, "service_send", action.spec.target);
     boost::asio::post(upstream_thread_.context(), [this, action] { service_client_.run(action); });
 }
 
-void sidecar_server::act(const sidecar_output::answer_service& action)
+void sidecar_server::apply(const sidecar_output::answer_service& action)
 {
     wire::service_reply reply;
     reply.set_status(static_cast<std::uint32_t>(action.answer.status));
@@ -332,32 +333,32 @@
     reply.set_body(action.answer.body);
     reply.set_replayed(action.replayed);
     *reply.mutable_load() = rpc::to_wire(core_.load(runtime::now()));
-    gate_.answer(action.call, reply);
+    gate_service_.answer(action.call, reply);
 }
 
-void sidecar_server::act(const sidecar_output::send_ticket& action)
+void sidecar_server::apply(const sidecar_output::send_ticket& action)
 {
-    gate_.give_ticket(action.call, action.ticket);
+    gate_service_.send_ticket(action.call, action.ticket);
 }
 
-void sidecar_server::act(const sidecar_output::report_running& action)
+void sidecar_server::apply(const sidecar_output::report_running& action)
 {
     wire::service_reply reply;
     reply.set_running(true);
-    gate_.answer(action.call, reply);
+    gate_service_.answer(action.call, reply);
 }
 
-void sidecar_server::act(const sidecar_output::ask_sidecar& action)
+void sidecar_server::apply(const sidecar_output::ask_sidecar& action)
 {
-    probe_.ask(action.place.address);
+    probe_.probe(action.place.address);
 }
 
-void sidecar_server::act(const sidecar_output::send_order& action)
+void sidecar_server::apply(const sidecar_output::send_order& action)
 {
-    boost::asio::post(upstream_thread_.context(), [this, action] { engine_.give_order(action); });
+    boost::asio::post(upstream_thread_.context(), [this, action] { engine_.send_order(action); });
 }
 
-void sidecar_server::act(const sidecar_output::all_done& /*action*/)
+void sidecar_server::apply(const sidecar_output::all_done& /*action*/)
 {
     on_all_done_();
 }
--- a/src/sidecar/sidecar_server.h
+++ b/src/sidecar/sidecar_server.h
@@ -47,7 +47,7 @@
     void join();
 
     /// What gateways call.
-    [[nodiscard]] auto service() -> gate_service& { return gate_; }
+    [[nodiscard]] auto service() -> gate_service& { return gate_service_; }
 
 private:
     void adopt_bundle(const bundle& in_force, const upstream_entry& own);
@@ -55,51 +55,51 @@
         -> sidecar_core_options;
     void post(sidecar_event event);
     void handle(std::optional<shell_event> event);
-    void carry_out(const std::vector<sidecar_action>& actions);
+    void apply_actions(const std::vector<sidecar_action>& actions);
     void publish_status(instant now);
     void answer_heartbeat(const heartbeat_event& event);
 
-    void act(const sidecar_output::grant_attempt& action);
-    void act(const sidecar_output::refuse_call& action);
-    void act(const sidecar_output::start_stream& action);
-    void act(const sidecar_output::start_warm_up& action);
-    void act(const sidecar_output::send_tokens& action);
-    void act(const sidecar_output::finish_attempt& action);
-    void act(const sidecar_output::cancel_stream& action);
-    void act(const sidecar_output::release_span& action);
-    void act(const sidecar_output::grant_share& action);
-    void act(const sidecar_output::refuse_share& action);
-    void act(const sidecar_output::confirm_share_return& action);
-    void act(const sidecar_output::run_service& action);
-    void act(const sidecar_output::answer_service& action);
-    void act(const sidecar_output::send_ticket& action);
-    void act(const sidecar_output::report_running& action);
-    void act(const sidecar_output::ask_sidecar& action);
-    void act(const sidecar_output::send_order& action);
-    void act(const sidecar_output::all_done& action);
+    void apply(const sidecar_output::grant_attempt& action);
+    void apply(const sidecar_output::refuse_call& action);
+    void apply(const sidecar_output::start_stream& action);
+    void apply(const sidecar_output::start_warm_up& action);
+    void apply(const sidecar_output::send_tokens& action);
+    void apply(const sidecar_output::finish_attempt& action);
+    void apply(const sidecar_output::cancel_stream& action);
+    void apply(const sidecar_output::release_span& action);
+    void apply(const sidecar_output::grant_share& action);
+    void apply(const sidecar_output::refuse_share& action);
+    void apply(const sidecar_output::confirm_share_return& action);
+    void apply(const sidecar_output::run_service& action);
+    void apply(const sidecar_output::answer_service& action);
+    void apply(const sidecar_output::send_ticket& action);
+    void apply(const sidecar_output::report_running& action);
+    void apply(const sidecar_output::ask_sidecar& action);
+    void apply(const sidecar_output::send_order& action);
+    void apply(const sidecar_output::all_done& action);
 
-    upstream_id self_;
+    upstream_id own_upstream_;
     process_id process_;
     timeline_recorder& timeline_;
-    attempt_timeline tries_;
-    sidecar_log log_;
+    attempt_timeline attempt_timeline_;
+    sidecar_log sidecar_log_;
     order_log order_log_;
     std::function<void()> on_all_done_;
     std::function<void()> on_superseded_;
-    incarnation start_;
+    incarnation incarnation_;
     sidecar_core core_;
-    runtime::duty_thread<shell_event> decide_;
+    runtime::duty_thread<shell_event> decision_thread_;
     runtime::io_thread upstream_thread_;
-    gate_service gate_;
+    gate_service gate_service_;
     upstream::engine_client engine_;
     upstream::service_client service_client_;
     instant last_tick_;
-    pause_log pauses_;
+    pause_log pause_log_;
     instant next_status_;
     runtime::latest<process_status> status_;
     bool is_engine_ = false;
-    std::shared_ptr<const bundle> adopted_; // the control thread's own
-    sidecar_probe probe_;                   // last, so that its calls end before anything else goes
+    std::shared_ptr<const bundle> adopted_bundle_; // the control thread's own
+    sidecar_probe probe_;                          // last, so that its calls end before anything else goes
 };
 
 } // namespace dragonflymill::sidecar
--- a/src/sidecar/unary_reactor.h
+++ b/src/sidecar/unary_reactor.h
@@ -17,13 +17,13 @@
 public:
     /// Takes the call over; `on_cancel` is told when the gateway no longer waits, `on_gone` when the call is
     /// over.
-    static auto open(Reply* reply, std::function<void()> on_cancel, std::function<void()> on_gone)
+    static auto open(Reply* reply, std::function<void()> on_cancel, std::function<void()> on_done)
         -> std::shared_ptr<unary_reactor>
     {
-        std::shared_ptr<unary_reactor> made(
-            new unary_reactor(reply, std::move(on_cancel), std::move(on_gone)));
-        made->self_ = made;
-        return made;
+        std::shared_ptr<unary_reactor> reactor(
+            new unary_reactor(reply, std::move(on_cancel), std::move(on_done)));
+        reactor->self_ = reactor;
+        return reactor;
     }
 
     /// Answers the call; later answers are dropped.
@@ -50,21 +50,21 @@
 
     void OnDone() override
     {
-        on_gone_();
+        on_done_();
         const auto last = std::move(self_);
     }
 
 private:
-    unary_reactor(Reply* reply, std::function<void()> on_cancel, std::function<void()> on_gone)
+    unary_reactor(Reply* reply, std::function<void()> on_cancel, std::function<void()> on_done)
         : reply_(reply)
         , on_cancel_(std::move(on_cancel))
-        , on_gone_(std::move(on_gone))
+        , on_done_(std::move(on_done))
     {
     }
 
     Reply* reply_;
     std::function<void()> on_cancel_;
-    std::function<void()> on_gone_;
+    std::function<void()> on_done_;
     std::shared_ptr<unary_reactor> self_; // keeps it alive until OnDone
     std::mutex mutex_;
     bool finished_ = false;
--- a/src/upstream/engine_client.cpp
+++ b/src/upstream/engine_client.cpp
@@ -18,8 +18,8 @@
 constexpr unsigned status_conflict = 409;
 constexpr unsigned status_too_many = 429;
 constexpr unsigned status_unavailable = 503;
-constexpr duration control_call_limit = 2s;
-constexpr duration order_answer_limit = 30s;
+constexpr duration control_call_timeout = 2s;
+constexpr duration order_timeout = 30s;
 
 auto post(const std::string& target, std::string body) -> http::http_request
 {
@@ -28,9 +28,9 @@
 
 /// Runs a short call and gives its whole body to `done`, which is not called if the call fails; then calls
 /// `after`.
-void read_whole(const std::shared_ptr<http::http_call>& call, http::http_request request, instant not_after,
-                std::function<void(unsigned status, const std::string& body)> done,
-                std::function<void()> after)
+void fetch_answer(const std::shared_ptr<http::http_call>& call, http::http_request request, instant not_after,
+                  std::function<void(unsigned status, const std::string& body)> done,
+                  std::function<void()> after)
 {
     auto handlers = http::gather_answer([done = std::move(done), after = std::move(after)](
                                             http::call_end how, const http::http_response& answer) {
@@ -42,9 +42,9 @@
     call->start(std::move(request), not_after, std::move(handlers));
 }
 
-auto soon() -> instant
+auto control_call_deadline() -> instant
 {
-    return runtime::now() + control_call_limit;
+    return runtime::now() + control_call_timeout;
 }
 
 auto order_result_of(unsigned status) -> order_result
@@ -100,20 +100,22 @@
     }
     const auto call = control_call();
     streams_.insert_or_assign(what.call, stream{call, http::sse_parser(max_event_bytes)});
-    const auto taken = std::make_shared<bool>(false);
-    const auto done = [taken](unsigned status, const std::string& /*body*/) { *taken = status == status_ok; };
-    const auto after = [this, taken, what, number, prompt = std::move(prompt)]() mutable {
+    const auto imported = std::make_shared<bool>(false);
+    const auto done = [imported](unsigned status, const std::string& /*body*/) {
+        *imported = status == status_ok;
+    };
+    const auto after = [this, imported, what, number, prompt = std::move(prompt)]() mutable {
         if (streams_.count(what.call) == 0) {
             return; // it was cancelled meanwhile
         }
-        if (*taken) {
+        if (*imported) {
             import_next(what, std::move(prompt), number + 1);
             return;
         }
-        fail(what.call, false);
+        fail_stream(what.call, false);
     };
-    read_whole(call, post("/v1/kv/import", import_body(what.engine_request, what.spec.imports[number])),
-               what.not_after, done, after);
+    fetch_answer(call, post("/v1/kv/import", import_body(what.engine_request, what.spec.imports[number])),
+                 what.not_after, done, after);
 }
 
 void engine_client::export_span(const sidecar_output::start_stream& what, const std::string& prompt)
@@ -137,12 +139,12 @@
 
 void engine_client::on_exported(call_number call, token_count tokens, http::call_end how)
 {
-    const auto held = streams_.find(call);
-    if (held == streams_.end() || held->second.status != status_ok || how != http::call_end::whole) {
+    const auto found = streams_.find(call);
+    if (found == streams_.end() || found->second.status != status_ok || how != http::call_end::whole) {
         on_end(call, how);
         return;
     }
-    streams_.erase(held);
+    streams_.erase(found);
     events_(sidecar_input::engine_finished{call, tokens, "exported", to_text(server_)});
 }
 
@@ -153,14 +155,15 @@
             events_(sidecar_input::span_released{span});
         }
     };
-    read_whole(control_call(), post("/v1/kv/release", release_body(span)), soon(), confirm, [] {});
+    fetch_answer(control_call(), post("/v1/kv/release", release_body(span)), control_call_deadline(), confirm,
+                 [] {});
 }
 
 auto engine_client::control_call() -> std::shared_ptr<http::http_call>
 {
     http::call_limits limits;
     limits.connect_timeout = options_.connect_timeout;
-    limits.first_byte_timeout = control_call_limit;
+    limits.first_byte_timeout = control_call_timeout;
     return std::make_shared<http::http_call>(context_, server_, limits);
 }
 
@@ -187,13 +190,13 @@
 
 void engine_client::on_bytes(call_number call, const std::string& engine_request, std::string_view bytes)
 {
-    const auto held = streams_.find(call);
-    if (held == streams_.end() || held->second.status != status_ok) {
+    const auto found = streams_.find(call);
+    if (found == streams_.end() || found->second.status != status_ok) {
         return;
     }
-    const auto payloads = held->second.events.feed(bytes);
+    const auto payloads = found->second.events.feed(bytes);
     if (!payloads) {
-        fail(call, true);
+        fail_stream(call, true);
         return;
     }
     for (const auto& payload : payloads.value()) {
@@ -204,44 +207,44 @@
 void engine_client::on_payload(call_number call, const std::string& engine_request,
                                const std::string& payload)
 {
-    const auto held = streams_.find(call);
-    if (held == streams_.end() || held->second.ended) {
+    const auto found = streams_.find(call);
+    if (found == streams_.end() || found->second.ended) {
         return;
     }
     const auto read = read_stream_event(payload);
     if (!read) {
-        fail(call, true);
+        fail_stream(call, true);
         return;
     }
     if (const auto* token = std::get_if<token_event>(&read.value())) {
         // Guards against an engine that mixes up its streams: a caller would read another one's answer. It
         // shows in the name the engine gives with each token.
         if (token->engine_request != engine_request) {
-            fail(call, true);
+            fail_stream(call, true);
             return;
         }
-        held->second.call->silence_after(options_.token_timeout);
+        found->second.call->silence_after(options_.token_timeout);
         events_(sidecar_input::engine_tokens{call, token->offset, {token->text}});
         return;
     }
     const auto& end = std::get<end_event>(read.value());
     if (end.engine_request != engine_request || end.reason == "cancelled") {
-        fail(call, true);
+        fail_stream(call, true);
         return;
     }
-    held->second.ended = true;
+    found->second.ended = true;
     events_(sidecar_input::engine_finished{call, end.tokens, end.reason});
 }
 
 void engine_client::on_end(call_number call, http::call_end how)
 {
-    const auto held = streams_.find(call);
-    if (held == streams_.end()) {
+    const auto found = streams_.find(call);
+    if (found == streams_.end()) {
         return;
     }
-    const auto status = held->second.status;
-    const bool ended = held->second.ended;
-    streams_.erase(held);
+    const auto status = found->second.status;
+    const bool ended = found->second.ended;
+    streams_.erase(found);
     if (ended) {
         return;
     }
@@ -252,14 +255,14 @@
     events_(failed);
 }
 
-void engine_client::fail(call_number call, bool sent)
+void engine_client::fail_stream(call_number call, bool sent)
 {
-    const auto held = streams_.find(call);
-    if (held == streams_.end()) {
+    const auto found = streams_.find(call);
+    if (found == streams_.end()) {
         return;
     }
-    held->second.call->drop();
-    streams_.erase(held);
+    found->second.call->drop();
+    streams_.erase(found);
     sidecar_input::engine_failed failed{call};
     failed.sent = sent;
     events_(failed);
@@ -267,40 +270,41 @@
 
 void engine_client::cancel_stream(const sidecar_output::cancel_stream& what)
 {
-    const auto held = streams_.find(what.call);
-    if (held != streams_.end()) {
-        held->second.call->drop();
-        streams_.erase(held);
+    const auto found = streams_.find(what.call);
+    if (found != streams_.end()) {
+        found->second.call->drop();
+        streams_.erase(found);
     }
     const auto confirm = [this, name = what.engine_request](unsigned status, const std::string& body) {
-        const auto held_still = read_cancel_answer(body);
-        if (status == status_ok && held_still && !held_still.value()) {
+        const auto still_held = read_cancel_answer(body);
+        if (status == status_ok && still_held && !still_held.value()) {
             events_(sidecar_input::cancel_confirmed{name});
         }
     };
-    read_whole(control_call(), post("/v1/cancel", cancel_body(what.engine_request)), soon(), confirm, [] {});
+    fetch_answer(control_call(), post("/v1/cancel", cancel_body(what.engine_request)),
+                 control_call_deadline(), confirm, [] {});
 }
 
-void engine_client::give_order(const sidecar_output::send_order& what)
+void engine_client::send_order(const sidecar_output::send_order& what)
 {
     http::call_limits limits;
     limits.connect_timeout = options_.connect_timeout;
-    limits.first_byte_timeout = order_answer_limit;
+    limits.first_byte_timeout = order_timeout;
     const auto call = std::make_shared<http::http_call>(context_, server_, limits);
     const auto answer = std::make_shared<sidecar_input::order_answered>();
     answer->number = what.number;
     const auto note = [answer](unsigned status, const std::string& /*body*/) {
         answer->how = order_result_of(status);
     };
-    read_whole(call, post("/v1/orders", order_body(what.order)), what.not_after, note,
-               [this, answer] { events_(*answer); });
+    fetch_answer(call, post("/v1/orders", order_body(what.order)), what.not_after, note,
+                 [this, answer] { events_(*answer); });
 }
 
 void engine_client::read_state()
 {
     http::call_limits limits;
     limits.connect_timeout = options_.connect_timeout;
-    limits.first_byte_timeout = control_call_limit;
+    limits.first_byte_timeout = control_call_timeout;
     limits.max_body_bytes = max_state_bytes;
     const auto call = std::make_shared<http::http_call>(context_, server_, limits);
     const auto report = [this, asked = runtime::now()](unsigned status, const std::string& body) {
@@ -310,10 +314,11 @@
             events_(std::move(read.value()));
         }
     };
-    read_whole(call, {"GET", "/v1/state", {}, {}}, soon(), report, [this] { next_state_later(); });
+    fetch_answer(call, {"GET", "/v1/state", {}, {}}, control_call_deadline(), report,
+                 [this] { schedule_state_read(); });
 }
 
-void engine_client::next_state_later()
+void engine_client::schedule_state_read()
 {
     state_timer_.expires_after(options_.state_interval);
     state_timer_.async_wait([this](boost::system::error_code failure) {
--- a/src/upstream/engine_client.h
+++ b/src/upstream/engine_client.h
@@ -45,7 +45,7 @@
     /// Closes a stream's connection and cancels it at the engine.
     void cancel_stream(const sidecar_output::cancel_stream& what);
     /// Gives the engine an order and reports how it went.
-    void give_order(const sidecar_output::send_order& what);
+    void send_order(const sidecar_output::send_order& what);
 
 private:
     struct stream
@@ -64,9 +64,9 @@
     void on_bytes(call_number call, const std::string& engine_request, std::string_view bytes);
     void on_payload(call_number call, const std::string& engine_request, const std::string& payload);
     void on_end(call_number call, http::call_end how);
-    void fail(call_number call, bool sent);
+    void fail_stream(call_number call, bool sent);
     void read_state();
-    void next_state_later();
+    void schedule_state_read();
 
     boost::asio::io_context& context_;
     boost::asio::ip::tcp::endpoint server_;
--- a/src/upstream/engine_json.cpp
+++ b/src/upstream/engine_json.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-auto unreadable(const char* what) -> error
+auto malformed_error(const char* what) -> error
 {
     return {error_kind::corrupt, std::string("the engine's ") + what + " can't be read",
             "check that the engine speaks the interface in docs/upstreams.md"};
@@ -23,18 +23,18 @@
     json::error_code failure;
     auto value = json::parse(text, failure);
     if (failure || !value.is_object()) {
-        return unreadable("answer");
+        return malformed_error("answer");
     }
     return std::move(value.as_object());
 }
 
-auto text_of(const json::object& from, const char* name) -> std::string
+auto string_field(const json::object& from, const char* name) -> std::string
 {
     const auto* value = from.if_contains(name);
     return value != nullptr && value->is_string() ? std::string(value->as_string()) : std::string();
 }
 
-auto number_of(const json::object& from, const char* name) -> std::int64_t
+auto integer_field(const json::object& from, const char* name) -> std::int64_t
 {
     const auto* value = from.if_contains(name);
     if (value == nullptr || !value->is_number()) {
@@ -44,13 +44,13 @@
     return value->to_number<std::int64_t>(inexact);
 }
 
-auto flag_of(const json::object& from, const char* name) -> bool
+auto bool_field(const json::object& from, const char* name) -> bool
 {
     const auto* value = from.if_contains(name);
     return value != nullptr && value->is_bool() && value->as_bool();
 }
 
-auto holdings_of(const json::object& state) -> std::vector<sidecar_input::engine_holding>
+auto read_holdings(const json::object& state) -> std::vector<sidecar_input::engine_holding>
 {
     std::vector<sidecar_input::engine_holding> held;
     const auto* list = state.if_contains("held");
@@ -60,8 +60,8 @@
     for (const auto& item : list->as_array()) {
         if (item.is_object()) {
             const auto& fields = item.as_object();
-            held.push_back(
-                {text_of(fields, "id"), number_of(fields, "tokens"), text_of(fields, "kind") == "kv"});
+            held.push_back({string_field(fields, "id"), integer_field(fields, "tokens"),
+                            string_field(fields, "kind") == "kv"});
         }
     }
     return held;
@@ -89,7 +89,7 @@
 }
 
 template <typename Name>
-auto names_of(const json::object& from, const char* name) -> std::vector<Name>
+auto name_list(const json::object& from, const char* name) -> std::vector<Name>
 {
     std::vector<Name> names;
     const auto* list = from.if_contains(name);
@@ -117,7 +117,7 @@
     return "both";
 }
 
-auto role_of(const std::string& text) -> engine_role
+auto parse_role(const std::string& text) -> engine_role
 {
     if (text == role_text(engine_role::prefill)) {
         return engine_role::prefill;
@@ -140,14 +140,14 @@
     return "set_role";
 }
 
-auto view_of(const json::object& state) -> engine_view
+auto read_view(const json::object& state) -> engine_view
 {
     engine_view view;
-    view.start = incarnation(static_cast<std::uint64_t>(number_of(state, "start")));
-    view.models = names_of<model_id>(state, "models");
-    view.adapters = names_of<adapter_id>(state, "adapters");
-    view.role = role_of(text_of(state, "role"));
-    view.fence = fencing_number(static_cast<std::uint64_t>(number_of(state, "fence")));
+    view.start = incarnation(static_cast<std::uint64_t>(integer_field(state, "start")));
+    view.models = name_list<model_id>(state, "models");
+    view.adapters = name_list<adapter_id>(state, "adapters");
+    view.role = parse_role(string_field(state, "role"));
+    view.fence = fencing_number(static_cast<std::uint64_t>(integer_field(state, "fence")));
     return view;
 }
 
@@ -239,16 +239,16 @@
         return parsed.error();
     }
     const auto& fields = parsed.value();
-    const auto type = text_of(fields, "type");
+    const auto type = string_field(fields, "type");
     if (type == "token") {
-        return stream_event(
-            token_event{text_of(fields, "request_id"), number_of(fields, "offset"), text_of(fields, "text")});
+        return stream_event(token_event{string_field(fields, "request_id"), integer_field(fields, "offset"),
+                                        string_field(fields, "text")});
     }
     if (type == "end") {
-        return stream_event(end_event{text_of(fields, "request_id"), number_of(fields, "tokens"),
-                                      text_of(fields, "finish_reason")});
+        return stream_event(end_event{string_field(fields, "request_id"), integer_field(fields, "tokens"),
+                                      string_field(fields, "finish_reason")});
     }
-    return unreadable("stream event");
+    return malformed_error("stream event");
 }
 
 auto read_state_answer(const std::string& body) -> result<sidecar_input::engine_reported>
@@ -260,17 +260,17 @@
     const auto& state = parsed.value();
     const auto* load = state.if_contains("load");
     if (load == nullptr || !load->is_object()) {
-        return unreadable("state");
+        return malformed_error("state");
     }
     sidecar_input::engine_reported report;
-    report.status.start = incarnation(static_cast<std::uint64_t>(number_of(state, "start")));
-    report.status.cold = flag_of(state, "cold");
-    report.status.queued_prefill = number_of(load->as_object(), "queued_prefill");
-    report.status.age = duration(number_of(load->as_object(), "age_us"));
-    report.memory_used = number_of(load->as_object(), "memory_used");
-    report.held = holdings_of(state);
-    report.view = view_of(state);
-    report.loading = names_of<model_id>(state, "loading");
+    report.status.start = incarnation(static_cast<std::uint64_t>(integer_field(state, "start")));
+    report.status.cold = bool_field(state, "cold");
+    report.status.queued_prefill = integer_field(load->as_object(), "queued_prefill");
+    report.status.age = duration(integer_field(load->as_object(), "age_us"));
+    report.memory_used = integer_field(load->as_object(), "memory_used");
+    report.held = read_holdings(state);
+    report.view = read_view(state);
+    report.loading = name_list<model_id>(state, "loading");
     return report;
 }
 
@@ -280,7 +280,7 @@
     if (!parsed) {
         return parsed.error();
     }
-    return flag_of(parsed.value(), "held");
+    return bool_field(parsed.value(), "held");
 }
 
 } // namespace dragonflymill::upstream
--- a/tests/upstream/engine_client_test.cpp
+++ b/tests/upstream/engine_client_test.cpp
@@ -20,25 +20,25 @@
 namespace {
 
 /// Far longer than anything here takes.
-constexpr auto generous = std::chrono::seconds(30);
+constexpr auto test_timeout = std::chrono::seconds(30);
 constexpr token_count prompt_tokens = 60'000;
 constexpr token_count exported_tokens = 40'000;
 constexpr token_count answer_tokens = 20;
 
 /// A stand-in engine that holds 50,000 tokens, and our client of it on a thread of its own.
-class engine_pair
+class engine_fixture
 {
 public:
-    engine_pair()
+    engine_fixture()
         : standin_(settings())
         , client_(thread_.context(), {boost::asio::ip::address_v4::loopback(), standin_.port()}, {},
-                  [this](sidecar_event event) { take(std::move(event)); })
+                  [this](sidecar_event event) { on_event(std::move(event)); })
     {
         thread_.start();
     }
-    ~engine_pair() { thread_.stop(); }
-    engine_pair(const engine_pair&) = delete;
-    auto operator=(const engine_pair&) -> engine_pair& = delete;
+    ~engine_fixture() { thread_.stop(); }
+    engine_fixture(const engine_fixture&) = delete;
+    auto operator=(const engine_fixture&) -> engine_fixture& = delete;
 
     [[nodiscard]] auto address() const -> std::string
     {
@@ -46,7 +46,7 @@
     }
     void start(const attempt_spec& spec, const std::string& prompt)
     {
-        const sidecar_output::start_stream what{call_number(1), "r.1", spec, runtime::now() + generous};
+        const sidecar_output::start_stream what{call_number(1), "r.1", spec, runtime::now() + test_timeout};
         boost::asio::post(thread_.context(), [this, what, prompt] { client_.start_stream(what, prompt); });
     }
     void release(const std::string& span)
@@ -59,13 +59,13 @@
     {
         std::unique_lock lock(mutex_);
         const Event* found = nullptr;
-        const bool came = changed_.wait_for(lock, generous, [&] {
+        const bool arrived = changed_.wait_for(lock, test_timeout, [&] {
             for (const auto& event : events_) {
                 found = found != nullptr ? found : std::get_if<Event>(&event);
             }
             return found != nullptr;
         });
-        cr_assert(came);
+        cr_assert(arrived);
         return *found;
     }
     /// Text of all tokens so far.
@@ -96,7 +96,7 @@
         out.engine.memory_total = 50'000;
         return out;
     }
-    void take(sidecar_event event)
+    void on_event(sidecar_event event)
     {
         const std::lock_guard lock(mutex_);
         events_.push_back(std::move(event));
@@ -111,24 +111,24 @@
     upstream::engine_client client_;
 };
 
-auto spec_of(token_count max_tokens) -> attempt_spec
+auto make_spec(token_count max_tokens) -> attempt_spec
 {
-    attempt_spec made;
-    made.request = request_id("r");
-    made.attempt = attempt_number(1);
-    made.model = model_id("m");
-    made.size = length_class::gang;
-    made.prompt_tokens = prompt_tokens;
-    made.max_tokens = max_tokens;
-    return made;
+    attempt_spec spec;
+    spec.request = request_id("r");
+    spec.attempt = attempt_number(1);
+    spec.model = model_id("m");
+    spec.size = length_class::gang;
+    spec.prompt_tokens = prompt_tokens;
+    spec.max_tokens = max_tokens;
+    return spec;
 }
 
-auto export_spec() -> attempt_spec
+auto make_export_spec() -> attempt_spec
 {
-    auto made = spec_of(0);
-    made.exported_span = "r.1.source";
-    made.span_end = exported_tokens;
-    return made;
+    auto spec = make_spec(0);
+    spec.exported_span = "r.1.source";
+    spec.span_end = exported_tokens;
+    return spec;
 }
 
 } // namespace
@@ -136,14 +136,14 @@
 Test(engine_client, a_span_computed_at_one_engine_carries_an_answer_at_another)
 {
     const auto prompt = standins::prompt_text(prompt_tokens, 1);
-    engine_pair source;
-    engine_pair decoder;
-    source.start(export_spec(), prompt.substr(0, exported_tokens * standins::bytes_per_token));
+    engine_fixture source;
+    engine_fixture decoder;
+    source.start(make_export_spec(), prompt.substr(0, exported_tokens * standins::bytes_per_token));
     const auto exported = source.wait_for<sidecar_input::engine_finished>();
     cr_assert(exported.source == source.address() && exported.tokens == exported_tokens);
     cr_assert(source.memory_used() == exported_tokens);
 
-    auto spec = spec_of(answer_tokens);
+    auto spec = make_spec(answer_tokens);
     spec.imports = {{"r.1.source", exported.source, 0, exported_tokens}};
     decoder.start(spec, prompt);
     const auto finished = decoder.wait_for<sidecar_input::engine_finished>();
@@ -160,8 +160,8 @@
 
 Test(engine_client, a_span_that_the_engine_does_not_take_is_a_failure_and_not_an_end)
 {
-    engine_pair full;
-    auto spec = export_spec();
+    engine_fixture full;
+    auto spec = make_export_spec();
     spec.span_end = prompt_tokens;
     full.start(spec, standins::prompt_text(prompt_tokens, 1));
     cr_assert(full.wait_for<sidecar_input::engine_failed>().overloaded);
