--- a/src/upstream/engine_client.cpp
+++ b/src/upstream/engine_client.cpp
@@ -26,18 +26,18 @@
     return {"POST", target, {{"Content-Type", "application/json"}}, std::move(body)};
 }
 
-/// Runs a short call and gives its whole body to `done`, which is not called if the call fails; then calls
-/// `after`.
+/// Runs a short call. Passes the complete answer to `on_answer`, which is not called if the call fails, and
+/// then calls `on_end`.
 void fetch_answer(const std::shared_ptr<http::http_call>& call, http::http_request request, instant not_after,
-                  std::function<void(unsigned status, const std::string& body)> done,
-                  std::function<void()> after)
+                  std::function<void(unsigned status, const std::string& body)> on_answer,
+                  std::function<void()> on_end)
 {
-    auto handlers = http::gather_answer([done = std::move(done), after = std::move(after)](
+    auto handlers = http::gather_answer([on_answer = std::move(on_answer), on_end = std::move(on_end)](
                                             http::call_end how, const http::http_response& answer) {
         if (how == http::call_end::whole) {
-            done(answer.status, answer.body);
+            on_answer(answer.status, answer.body);
         }
-        after();
+        on_end();
     });
     call->start(std::move(request), not_after, std::move(handlers));
 }
@@ -92,30 +92,31 @@
 }
 
 void engine_client::import_next(const sidecar_output::start_stream& what, std::string prompt,
-                                std::size_t number)
+                                std::size_t next_import)
 {
-    if (number == what.spec.imports.size()) {
+    if (next_import == what.spec.imports.size()) {
         begin_stream(what, prompt);
         return;
     }
     const auto call = control_call();
     streams_.insert_or_assign(what.call, stream{call, http::sse_parser(max_event_bytes)});
     const auto imported = std::make_shared<bool>(false);
-    const auto done = [imported](unsigned status, const std::string& /*body*/) {
+    const auto on_answer = [imported](unsigned status, const std::string& /*body*/) {
         *imported = status == status_ok;
     };
-    const auto after = [this, imported, what, number, prompt = std::move(prompt)]() mutable {
+    const auto on_end = [this, imported, what, next_import, prompt = std::move(prompt)]() mutable {
         if (streams_.count(what.call) == 0) {
-            return; // it was cancelled meanwhile
+            return; // cancelled in the meantime
         }
         if (*imported) {
-            import_next(what, std::move(prompt), number + 1);
+            import_next(what, std::move(prompt), next_import + 1);
             return;
         }
         fail_stream(what.call, false);
     };
-    fetch_answer(call, post("/v1/kv/import", import_body(what.engine_request, what.spec.imports[number])),
-                 what.not_after, done, after);
+    fetch_answer(call,
+                 post("/v1/kv/import", import_body(what.engine_request, what.spec.imports[next_import])),
+                 what.not_after, on_answer, on_end);
 }
 
 void engine_client::export_span(const sidecar_output::start_stream& what, const std::string& prompt)
@@ -217,8 +218,8 @@
         return;
     }
     if (const auto* token = std::get_if<token_event>(&read.value())) {
-        // Guards against an engine that mixes up its streams: a caller would read another one's answer. It
-        // shows in the name the engine gives with each token.
+        // Detects an engine that mixes up its streams by the request name in each token: the caller would
+        // receive the answer of another request.
         if (token->engine_request != engine_request) {
             fail_stream(call, true);
             return;
@@ -293,10 +294,10 @@
     const auto call = std::make_shared<http::http_call>(context_, server_, limits);
     const auto answer = std::make_shared<sidecar_input::order_answered>();
     answer->number = what.number;
-    const auto note = [answer](unsigned status, const std::string& /*body*/) {
+    const auto store_result = [answer](unsigned status, const std::string& /*body*/) {
         answer->how = order_result_of(status);
     };
-    fetch_answer(call, post("/v1/orders", order_body(what.order)), what.not_after, note,
+    fetch_answer(call, post("/v1/orders", order_body(what.order)), what.not_after, store_result,
                  [this, answer] { events_(*answer); });
 }
 
@@ -307,10 +308,10 @@
     limits.first_byte_timeout = control_call_timeout;
     limits.max_body_bytes = max_state_bytes;
     const auto call = std::make_shared<http::http_call>(context_, server_, limits);
-    const auto report = [this, asked = runtime::now()](unsigned status, const std::string& body) {
+    const auto report = [this, sent_at = runtime::now()](unsigned status, const std::string& body) {
         auto read = read_state_answer(body);
         if (status == status_ok && read) {
-            read.value().view.asked = asked;
+            read.value().view.asked = sent_at;
             events_(std::move(read.value()));
         }
     };
--- a/src/upstream/engine_client.h
+++ b/src/upstream/engine_client.h
@@ -14,37 +14,38 @@
 
 namespace dragonflymill::upstream {
 
-/// Times of the engine adapter.
+/// Timeouts and intervals of the engine client.
 struct engine_client_options
 {
-    duration connect_timeout = 1s;       ///< For opening a connection.
-    duration state_interval = 250ms;     ///< Between two readings of the engine's state.
-    duration first_token_timeout = 120s; ///< For the first token of any prompt.
-    duration token_timeout = 5s; ///< Between two tokens: a stream silent for longer is taken to be lost.
+    duration connect_timeout = 1s;       ///< Time limit for opening a connection.
+    duration state_interval = 250ms;     ///< Interval between two reads of the engine's state.
+    duration first_token_timeout = 120s; ///< Time limit for the first token of any prompt.
+    duration token_timeout = 5s; ///< Time limit between two tokens; a stream that is silent for longer fails.
 };
 
-/// Speaks a model engine's HTTP interface (docs/upstreams.md) for one sidecar. Everything runs on one
-/// context; what happens goes to the sink as events of `sidecar_core`.
+/// Client of a model engine's HTTP interface (docs/upstreams.md) for one sidecar. All functions and handlers
+/// run on one `io_context`. Results are passed to the sink as events of `sidecar_core`.
 class engine_client
 {
 public:
-    /// Takes every event, waiting for room if need be.
+    /// Receives every event; blocks while its queue is full.
     using sink = std::function<void(sidecar_event)>;
 
-    /// Speaks to the engine at `server`.
+    /// Creates a client of the engine at `server`.
     engine_client(boost::asio::io_context& context, boost::asio::ip::tcp::endpoint server,
                   engine_client_options options, sink events);
 
-    /// Begins to read the engine's state again and again.
+    /// Starts reading the engine's state periodically.
     void start();
-    /// Puts a stream to the engine, or has it compute a span; spans that the prompt begins with are imported
-    /// before.
+    /// Starts a stream at the engine, or has it compute and export a span of KV cache. For a stream, the
+    /// spans of its prompt are imported first.
     void start_stream(const sidecar_output::start_stream& what, const std::string& prompt);
-    /// Releases a span of KV cache at the engine.
+    /// Releases a span of KV cache at the engine; reports nothing if the call fails.
     void release_span(const std::string& span);
-    /// Closes a stream's connection and cancels it at the engine.
+    /// Closes a stream's connection and cancels the stream at the engine. Reports a confirmation only once
+    /// the engine no longer holds memory for it.
     void cancel_stream(const sidecar_output::cancel_stream& what);
-    /// Gives the engine an order and reports how it went.
+    /// Sends an order to the engine and reports the result.
     void send_order(const sidecar_output::send_order& what);
 
 private:
@@ -57,7 +58,7 @@
     };
 
     [[nodiscard]] auto control_call() -> std::shared_ptr<http::http_call>;
-    void import_next(const sidecar_output::start_stream& what, std::string prompt, std::size_t number);
+    void import_next(const sidecar_output::start_stream& what, std::string prompt, std::size_t next_import);
     void export_span(const sidecar_output::start_stream& what, const std::string& prompt);
     void begin_stream(const sidecar_output::start_stream& what, const std::string& prompt);
     void on_exported(call_number call, token_count tokens, http::call_end how);
--- a/src/upstream/engine_json.cpp
+++ b/src/upstream/engine_json.cpp
@@ -15,7 +15,7 @@
 auto malformed_error(const char* what) -> error
 {
     return {error_kind::corrupt, std::string("the engine's ") + what + " can't be read",
-            "check that the engine speaks the interface in docs/upstreams.md"};
+            "check that the engine implements the interface in docs/upstreams.md"};
 }
 
 auto parse_object(const std::string& text) -> result<json::object>
@@ -69,14 +69,15 @@
 
 auto priority_of(const attempt_spec& spec) -> std::size_t
 {
-    // A short prompt takes so little that letting it wait would help nobody, and it counts as a short one for
-    // its caller.
+    // A short prompt keeps its usual priority: it uses so little capacity that delaying it would help no
+    // other request, and for its client it counts as a short prompt.
     const bool can_wait =
         spec.request_priority == priority::overnight && spec.size != length_class::interactive;
     return can_wait ? overnight_engine_priority : engine_priority(spec.size);
 }
 
-/// The body with the prompt behind its other fields, which are short.
+/// Serializes `fields`, which are short, and appends the prompt as the last member; the prompt is not copied
+/// into a JSON value first.
 auto with_prompt(const json::object& fields, const std::string& prompt) -> std::string
 {
     auto text = json::serialize(fields);
--- a/src/upstream/engine_json.h
+++ b/src/upstream/engine_json.h
@@ -8,44 +8,44 @@
 
 namespace dragonflymill::upstream {
 
-/// One token of a stream.
+/// One token of a completion stream.
 struct token_event
 {
-    std::string engine_request; ///< Stream that the engine says it belongs to.
-    token_offset offset = 0;    ///< Its place.
-    std::string text;           ///< Its text.
+    std::string engine_request; ///< Request to which the token belongs, as stated by the engine.
+    token_offset offset = 0;    ///< Offset of the token in the answer.
+    std::string text;           ///< Text of the token.
 };
 
-/// The end of a stream.
+/// End of a completion stream.
 struct end_event
 {
-    std::string engine_request; ///< Stream that the engine says it belongs to.
-    token_offset tokens = 0;    ///< Length of the whole answer.
-    std::string reason;         ///< Why it ends there.
+    std::string engine_request; ///< Request to which the stream belongs, as stated by the engine.
+    token_offset tokens = 0;    ///< Length of the whole answer, in tokens.
+    std::string reason;         ///< Finish reason.
 };
 
-/// One event of a completion's stream.
+/// One event of a completion stream.
 using stream_event = std::variant<token_event, end_event>;
 
-/// Body of `POST /v1/completions`.
+/// Returns the body of `POST /v1/completions`.
 [[nodiscard]] auto completion_body(const std::string& engine_request, const attempt_spec& spec,
                                    const std::string& prompt) -> std::string;
-/// Body of `POST /v1/kv/export`.
+/// Returns the body of `POST /v1/kv/export`.
 [[nodiscard]] auto export_body(const std::string& engine_request, const attempt_spec& spec,
                                const std::string& prompt) -> std::string;
-/// Body of `POST /v1/kv/import`.
+/// Returns the body of `POST /v1/kv/import`.
 [[nodiscard]] auto import_body(const std::string& engine_request, const span_import& what) -> std::string;
-/// Body of `POST /v1/kv/release`.
+/// Returns the body of `POST /v1/kv/release`.
 [[nodiscard]] auto release_body(const std::string& span) -> std::string;
-/// Body of `POST /v1/cancel`.
+/// Returns the body of `POST /v1/cancel`.
 [[nodiscard]] auto cancel_body(const std::string& engine_request) -> std::string;
-/// Body of `POST /v1/orders`.
+/// Returns the body of `POST /v1/orders`.
 [[nodiscard]] auto order_body(const engine_order& order) -> std::string;
-/// Reads one event of a completion's stream.
+/// Parses one event of a completion stream. Fails if it is malformed or of an unknown type.
 [[nodiscard]] auto read_stream_event(const std::string& payload) -> result<stream_event>;
-/// Reads the answer of `GET /v1/state`.
+/// Parses the answer to `GET /v1/state`. Fails if it is malformed or has no load.
 [[nodiscard]] auto read_state_answer(const std::string& body) -> result<sidecar_input::engine_reported>;
-/// Reads the answer of `POST /v1/cancel`: whether anything is still held.
+/// Parses the answer to `POST /v1/cancel`. Returns whether the engine still holds memory for the request.
 [[nodiscard]] auto read_cancel_answer(const std::string& body) -> result<bool>;
 
 } // namespace dragonflymill::upstream
--- a/src/upstream/service_client.h
+++ b/src/upstream/service_client.h
@@ -9,19 +9,18 @@
 
 namespace dragonflymill::upstream {
 
-/// Calls a plain service for one sidecar, each call on a connection opened just before. Nothing is ever sent
-/// twice.
+/// Calls a plain service for one sidecar. Opens a new connection for each call and never sends a call twice.
 class service_client
 {
 public:
-    /// Takes every event, waiting for room if need be.
+    /// Receives every event; blocks while its queue is full.
     using sink = std::function<void(sidecar_event)>;
 
-    /// Calls the service at `server`.
+    /// Creates a client of the service at `server`.
     service_client(boost::asio::io_context& context, boost::asio::ip::tcp::endpoint server,
                    duration connect_timeout, sink events);
 
-    /// Sends the call and reports its answer, or that none will come.
+    /// Sends the call and reports its answer, or its failure and whether the call was sent.
     void run(const sidecar_output::run_service& what);
 
 private:
--- a/tests/upstream/engine_client_test.cpp
+++ b/tests/upstream/engine_client_test.cpp
@@ -19,13 +19,13 @@
 
 namespace {
 
-/// Far longer than anything here takes.
+/// Far longer than any step of these tests takes.
 constexpr auto test_timeout = std::chrono::seconds(30);
 constexpr token_count prompt_tokens = 60'000;
 constexpr token_count exported_tokens = 40'000;
 constexpr token_count answer_tokens = 20;
 
-/// A stand-in engine that holds 50,000 tokens, and our client of it on a thread of its own.
+/// A stand-in engine with memory for 50,000 tokens, and an engine client that runs on its own thread.
 class engine_fixture
 {
 public:
@@ -53,7 +53,7 @@
     {
         boost::asio::post(thread_.context(), [this, span] { client_.release_span(span); });
     }
-    /// Waits for an event of that kind; earlier ones stay.
+    /// Waits for the first event of type `Event`; received events are kept.
     template <typename Event>
     [[nodiscard]] auto wait_for() -> Event
     {
@@ -68,7 +68,7 @@
         cr_assert(arrived);
         return *found;
     }
-    /// Text of all tokens so far.
+    /// Returns the text of all tokens received so far.
     [[nodiscard]] auto text() -> std::string
     {
         const std::lock_guard lock(mutex_);
@@ -133,7 +133,7 @@
 
 } // namespace
 
-Test(engine_client, a_span_computed_at_one_engine_carries_an_answer_at_another)
+Test(engine_client, answers_from_a_span_computed_at_another_engine)
 {
     const auto prompt = standins::prompt_text(prompt_tokens, 1);
     engine_fixture source;
@@ -149,7 +149,7 @@
     const auto finished = decoder.wait_for<sidecar_input::engine_finished>();
     cr_assert(finished.source.empty());
     cr_assert(decoder.text() == standins::expected_answer("m", prompt, answer_tokens));
-    cr_assert(decoder.memory_used() > 0, "the import stands until it is released");
+    cr_assert(decoder.memory_used() > 0, "the imported span must stay allocated until it is released");
 
     for (auto* each : {&source, &decoder}) {
         each->release("r.1.source");
@@ -158,7 +158,7 @@
     }
 }
 
-Test(engine_client, a_span_that_the_engine_does_not_take_is_a_failure_and_not_an_end)
+Test(engine_client, reports_a_failure_when_the_engine_rejects_a_span_export)
 {
     engine_fixture full;
     auto spec = make_export_spec();
--- a/tests/upstream/gate_server_test.cpp
+++ b/tests/upstream/gate_server_test.cpp
@@ -5,8 +5,9 @@
 
 FAULT_CELL_MORE(request_dispatch, same_twice, two_sidecars)
 {
-    // A booking is made twice. An old sidecar that was believed dead still listens when its successor starts;
-    // the kernel deals the gateways' connections out between the two, and each runs what it gets.
+    // User-visible failure: a booking is made twice. An old sidecar that was considered dead still listens
+    // when its successor starts. With a shared port, the kernel distributes the gateways' connections between
+    // the two, and each runs the calls that it receives.
     sidecar::gate_service service([](const sidecar::shell_event&) { return true; });
     int port = 0;
     const auto first = sidecar::start_gate_server("127.0.0.1:0", service, port);
@@ -14,5 +15,5 @@
     sidecar::gate_service successor([](const sidecar::shell_event&) { return true; });
     int same_port = 0;
     const auto second = sidecar::start_gate_server("127.0.0.1:" + std::to_string(port), successor, same_port);
-    cr_assert(second == nullptr, "one address, one sidecar");
+    cr_assert(second == nullptr, "a second sidecar must not listen on the same address");
 }
