--- a/src/sidecar/attempt_reactor.cpp
+++ b/src/sidecar/attempt_reactor.cpp
@@ -9,13 +9,15 @@
 
 namespace {
 
-/// A prompt may have more bytes than its estimated tokens stand for, but not without end.
+/// The announced token count is an estimate, so a prompt may exceed its usual size; these limits bound the
+/// memory that one prompt can use.
 constexpr std::size_t max_bytes_per_token = 16;
 constexpr std::size_t prompt_slack_bytes = 64 * 1024;
-/// Tokens joined into one event while an earlier one is being written.
+/// Upper bound on the tokens merged into one event while an earlier event is being written.
 constexpr int max_joined_tokens = 4'096;
 
-/// Joins `next` to `last` if both are tokens that follow each other.
+/// Appends the tokens of `next` to `last` if both are token events with consecutive offsets. Returns false
+/// if they can't be merged.
 auto join_tokens(wire::attempt_event& last, const wire::attempt_event& next) -> bool
 {
     if (!last.has_tokens() || !next.has_tokens()) {
@@ -64,7 +66,7 @@
     if (finishing_) {
         return;
     }
-    // The event being written is the first and may not change.
+    // gRPC is still writing the first event, so tokens can't be appended to it.
     const std::size_t first_free = writing_ ? 1 : 0;
     if (unsent_.size() > first_free && join_tokens(unsent_.back(), event)) {
         return;
@@ -109,7 +111,7 @@
 void attempt_reactor::OnReadDone(bool ok)
 {
     if (!ok) {
-        return; // the gateway sends nothing more, or the call is cancelled, which OnCancel tells
+        return; // the gateway closed its sending side, or the call was cancelled, which OnCancel handles
     }
     if (!opened_) {
         handle_open();
@@ -189,7 +191,7 @@
 void attempt_reactor::OnDone()
 {
     on_done_(call_);
-    const auto last = std::move(self_);
+    const auto self = std::move(self_); // destroys the reactor at the end of this scope
 }
 
 } // namespace dragonflymill::sidecar
--- a/src/sidecar/attempt_reactor.h
+++ b/src/sidecar/attempt_reactor.h
@@ -11,22 +11,24 @@
 
 namespace dragonflymill::sidecar {
 
-/// The sidecar's end of one `attempt` call: reads the try and its prompt, writes what becomes of it. Reads
-/// and writes run on the transport's threads; `send` and `finish` are called by the deciding thread.
+/// Server side of one `attempt` call: reads the attempt and its prompt, and writes its events. Reads and
+/// writes run on gRPC's threads; `send` and `finish` are called on the decision thread.
 class attempt_reactor final : public grpc::ServerBidiReactor<wire::attempt_request, wire::attempt_event>
 {
 public:
-    /// Takes the call over. `on_gone` is called once it is over and nothing more may be sent.
+    /// Creates the reactor of a call; it owns itself until the call is done. `on_done` is called at that
+    /// point; nothing may be sent afterwards.
     static auto open(grpc::CallbackServerContext* context, call_number call, shell_sink sink,
                      std::function<void(call_number)> on_done) -> std::shared_ptr<attempt_reactor>;
 
-    /// Begins to read.
+    /// Starts the first read.
     void begin();
-    /// Queues an event for the gateway. Tokens that wait are joined, so a slow gateway costs little memory.
+    /// Queues an event for the gateway. Queued token events are merged to bound the memory used for a slow
+    /// gateway.
     void send(wire::attempt_event event);
-    /// Queues the last event and ends the call behind it.
+    /// Queues the last event and finishes the call after it.
     void finish(wire::attempt_event event);
-    /// The whole prompt; taken once.
+    /// Moves the received prompt out; a second call returns an empty text.
     [[nodiscard]] auto take_prompt() -> std::string;
 
     void OnReadDone(bool ok) override;
@@ -47,7 +49,7 @@
     call_number call_;
     shell_sink sink_;
     std::function<void(call_number)> on_done_;
-    std::shared_ptr<attempt_reactor> self_; // keeps it alive until OnDone
+    std::shared_ptr<attempt_reactor> self_; // keeps the reactor alive until OnDone
     wire::attempt_request incoming_;
     std::mutex mutex_;
     std::deque<wire::attempt_event> unsent_;
--- a/src/sidecar/attempt_timeline.cpp
+++ b/src/sidecar/attempt_timeline.cpp
@@ -4,11 +4,11 @@
 
 void attempt_timeline::note(const sidecar_event& event)
 {
-    if (const auto* opening = std::get_if<sidecar_input::attempt_opened>(&event)) {
-        record_open(opening->call, opening->spec);
+    if (const auto* opened = std::get_if<sidecar_input::attempt_opened>(&event)) {
+        record_open(opened->call, opened->spec);
     }
-    else if (const auto* gone = std::get_if<sidecar_input::call_cancelled>(&event)) {
-        attempts_.erase(gone->call);
+    else if (const auto* cancelled = std::get_if<sidecar_input::call_cancelled>(&event)) {
+        attempts_.erase(cancelled->call);
     }
 }
 
--- a/src/sidecar/attempt_timeline.h
+++ b/src/sidecar/attempt_timeline.h
@@ -9,27 +9,28 @@
 
 namespace dragonflymill::sidecar {
 
-/// Puts the messages of tries into the sidecar's time line, under the names that the gateway gives them too,
-/// so that the two hosts' clocks can be set against each other. Used by the deciding thread alone.
+/// Records the messages of attempts in the sidecar's timeline. Gateway and sidecar use the same message
+/// names, which allows the offset between the clocks of their hosts to be estimated. Used on the decision
+/// thread only.
 class attempt_timeline
 {
 public:
-    /// Records into `timeline`, which outlives it.
+    /// Records into `timeline`, which must outlive this object.
     explicit attempt_timeline(timeline_recorder& timeline)
         : timeline_(timeline)
     {
     }
 
-    /// Notes what came from a gateway.
+    /// Records an event received from a gateway.
     void note(const sidecar_event& event);
-    /// Notes what is about to go to a gateway.
+    /// Records an action that is about to be sent to a gateway.
     void note(const sidecar_action& action);
 
-    /// Tries that are noted at the same time; the messages of further ones are left out.
+    /// Maximum number of attempts tracked at the same time; messages of further attempts are not recorded.
     static constexpr std::size_t most_tries = 8'192;
 
 private:
-    /// The try that a call carries.
+    /// Attempt that belongs to an open call.
     struct open_attempt
     {
         request_id request;
--- a/src/sidecar/call_registry.h
+++ b/src/sidecar/call_registry.h
@@ -9,25 +9,25 @@
 
 namespace dragonflymill::sidecar {
 
-/// The open calls of one kind, by number; shared by the transport's threads and the deciding thread.
+/// Open calls of one kind, by number. Thread-safe: used on gRPC's threads and on the decision thread.
 template <typename Reactor>
 class call_registry
 {
 public:
-    /// Notes an open call.
+    /// Adds an open call.
     void add(call_number call, std::shared_ptr<Reactor> reactor)
     {
         const std::lock_guard lock(mutex_);
         open_.insert_or_assign(call, std::move(reactor));
     }
-    /// The call, or null if it is over.
+    /// Returns the reactor of a call, or null if the call is done.
     [[nodiscard]] auto find(call_number call) const -> std::shared_ptr<Reactor>
     {
         const std::lock_guard lock(mutex_);
         const auto found = open_.find(call);
         return found == open_.end() ? nullptr : found->second;
     }
-    /// Forgets a call that is over.
+    /// Removes a call that is done.
     void remove(call_number call)
     {
         const std::lock_guard lock(mutex_);
--- a/src/sidecar/declared_state.cpp
+++ b/src/sidecar/declared_state.cpp
@@ -27,16 +27,16 @@
     if (own.kind != upstream_kind::engine || own.models.empty()) {
         return declared;
     }
-    declared_engine wanted;
-    wanted.version = in_force.version;
-    wanted.models = own.models;
+    declared_engine engine;
+    engine.version = in_force.version;
+    engine.models = own.models;
     for (const auto& model : in_force.models) {
         declared.replicas.push_back(replicas_of(in_force, model.id));
         if (std::find(own.models.begin(), own.models.end(), model.id) != own.models.end()) {
-            wanted.adapters.insert(wanted.adapters.end(), model.adapters.begin(), model.adapters.end());
+            engine.adapters.insert(engine.adapters.end(), model.adapters.begin(), model.adapters.end());
         }
     }
-    declared.wanted = std::move(wanted);
+    declared.wanted = std::move(engine);
     return declared;
 }
 
--- a/src/sidecar/declared_state.h
+++ b/src/sidecar/declared_state.h
@@ -5,8 +5,9 @@
 
 namespace dragonflymill::sidecar {
 
-/// What `in_force` wants the engine of `own` to be, and which sidecars stand beside a model's other replicas.
-/// Without models in the bundle nothing is wanted: an engine that is looked after by hand is left alone.
+/// Returns the state that the bundle `in_force` declares for the engine of `own`, and the sidecars of each
+/// model's replicas. An entry without models, or one that is not an engine, declares no state: an engine that
+/// is managed by hand receives no orders.
 [[nodiscard]] auto declared_state_of(const bundle& in_force, const upstream_entry& own)
     -> sidecar_input::declared_changed;
 
--- a/src/sidecar/gate_server.cpp
+++ b/src/sidecar/gate_server.cpp
@@ -20,8 +20,8 @@
     rpc::keep_transport_alive();
     grpc::ServerBuilder builder;
     builder.AddListeningPort(address, grpc::InsecureServerCredentials(), &port);
-    // Guards against two sidecars of one upstream that both get calls: gRPC shares ports by default, and the
-    // kernel would deal the connections out between an old sidecar and its successor.
+    // Prevents two sidecars of one upstream from receiving calls at the same time: gRPC sets SO_REUSEPORT by
+    // default, and the kernel would distribute connections between an old sidecar and its successor.
     builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
     builder.AddChannelArgument(GRPC_ARG_HTTP2_BDP_PROBE, 0);
     builder.AddChannelArgument(GRPC_ARG_HTTP2_STREAM_LOOKAHEAD_BYTES, rpc::stream_window_bytes);
--- a/src/sidecar/gate_server.h
+++ b/src/sidecar/gate_server.h
@@ -8,8 +8,8 @@
 
 namespace dragonflymill::sidecar {
 
-/// Offers `service` at `address`, which no other process may hold at the same time; `port` becomes the port.
-/// Null if the address can't be had.
+/// Starts a gRPC server for `service` at `address`, without sharing the port with other processes. Stores the
+/// bound port in `port`. Returns null if the address can't be bound.
 [[nodiscard]] auto start_gate_server(const std::string& address, gate_service& service, int& port)
     -> std::unique_ptr<grpc::Server>;
 
--- a/src/sidecar/gate_service.h
+++ b/src/sidecar/gate_service.h
@@ -12,12 +12,12 @@
 
 namespace dragonflymill::sidecar {
 
-/// What a sidecar offers to gateways, over gRPC. It only carries: every decision comes from the deciding
-/// thread.
+/// gRPC service that a sidecar offers to gateways. Forwards calls to the decision thread, which makes every
+/// decision, and sends back its replies.
 class gate_service final : public wire::sidecar_gate::CallbackService
 {
 public:
-    /// Hands what comes in to `sink`.
+    /// Passes incoming calls to `sink`.
     explicit gate_service(shell_sink sink);
 
     auto attempt(grpc::CallbackServerContext* context)
@@ -37,15 +37,15 @@
     auto release_share(grpc::CallbackServerContext* context, const wire::gang_share_request* request,
                        wire::gang_share_reply* reply) -> grpc::ServerUnaryReactor* override;
 
-    /// An open try, or null.
+    /// Returns the reactor of an open attempt, or null.
     [[nodiscard]] auto find_attempt(call_number call) const -> std::shared_ptr<attempt_reactor>;
-    /// Refuses a call of any kind.
+    /// Refuses a call of any kind with the reason and the upstream's current load.
     void refuse(call_number call, const refusal& why, const upstream_load& load);
-    /// Answers a service call or a status.
+    /// Answers a service call or a status request.
     void answer(call_number call, const wire::service_reply& reply);
-    /// Answers a request for a ticket.
+    /// Answers a ticket request.
     void send_ticket(call_number call, const std::string& ticket);
-    /// Answers a call about a share.
+    /// Answers the reservation, renewal or release of a gang share.
     void answer_share(call_number call, wire::gang_share_reply reply);
 
 private:
--- a/src/sidecar/heartbeat_reactor.cpp
+++ b/src/sidecar/heartbeat_reactor.cpp
@@ -35,7 +35,8 @@
         finish_locked();
         return;
     }
-    // One that finds the ring full goes unanswered: the gateway sees a sidecar that can't keep up.
+    // A heartbeat that finds the event ring full is dropped: the missing answer shows the gateway that this
+    // sidecar is overloaded.
     static_cast<void>(sink_(heartbeat_event{self_, incoming_.number(), process_id(incoming_.sender()),
                                             incoming_.from_sidecar()}));
     StartRead(&incoming_);
@@ -63,7 +64,7 @@
 
 void heartbeat_reactor::OnDone()
 {
-    const auto last = std::move(self_);
+    const auto self = std::move(self_); // destroys the reactor at the end of this scope
 }
 
 } // namespace dragonflymill::sidecar
--- a/src/sidecar/heartbeat_reactor.h
+++ b/src/sidecar/heartbeat_reactor.h
@@ -9,15 +9,15 @@
 
 namespace dragonflymill::sidecar {
 
-/// The sidecar's end of one connection's heartbeats. One is answered at a time; a gateway sends the next
-/// after the interval, so nothing piles up.
+/// Server side of the heartbeats of one connection. Has at most one answer in flight and drops further ones:
+/// the sender waits for the heartbeat interval, so no queue is needed.
 class heartbeat_reactor final : public grpc::ServerBidiReactor<wire::heartbeat_ping, wire::heartbeat_pong>
 {
 public:
-    /// Begins to read.
+    /// Creates the reactor, which owns itself until the call is done, and starts the first read.
     static auto open(shell_sink sink) -> std::shared_ptr<heartbeat_reactor>;
 
-    /// Answers a heartbeat; called by the deciding thread.
+    /// Answers a heartbeat; called on the decision thread.
     void answer(wire::heartbeat_pong pong);
 
     void OnReadDone(bool ok) override;
@@ -30,7 +30,7 @@
     void finish_locked();
 
     shell_sink sink_;
-    std::shared_ptr<heartbeat_reactor> self_; // keeps it alive until OnDone
+    std::shared_ptr<heartbeat_reactor> self_; // keeps the reactor alive until OnDone
     wire::heartbeat_ping incoming_;
     wire::heartbeat_pong outgoing_;
     std::mutex mutex_;
--- a/src/sidecar/order_log.h
+++ b/src/sidecar/order_log.h
@@ -4,15 +4,16 @@
 
 namespace dragonflymill::sidecar {
 
-/// Logs what a sidecar orders of its engine and whether it may act.
+/// Logs the orders that a sidecar sends to its engine, and whether it holds the lease that permits them.
 class order_log
 {
 public:
-    /// Notes an input of the core.
+    /// Logs an order that the engine refused or failed to carry out.
     static void log(const sidecar_event& input);
-    /// Notes an output of the core.
+    /// Logs an order that is about to be sent.
     static void log(const sidecar_action& action);
-    /// Notes whether the sidecar acts, and whether a later one gives orders to its engine.
+    /// Logs changes of the sidecar's own lease, and the first time that a later sidecar has superseded it as
+    /// sender of orders.
     void log(bool holds_lease, bool superseded);
 
 private:
--- a/src/sidecar/shell_event.h
+++ b/src/sidecar/shell_event.h
@@ -10,20 +10,20 @@
 
 class heartbeat_reactor;
 
-/// A gateway's heartbeat on one connection, to be answered by the deciding thread: so it proves that this
-/// thread lives, not only the transport's.
+/// Heartbeat received on one connection. The decision thread answers it, which proves that this thread is
+/// running and not only gRPC's threads.
 struct heartbeat_event
 {
-    std::shared_ptr<heartbeat_reactor> connection; ///< Where to answer.
-    std::uint64_t number = 0;                      ///< Number of the heartbeat.
-    process_id gateway;                            ///< Who sent it.
-    bool from_sidecar = false;                     ///< Whether a sidecar asks who answers here.
+    std::shared_ptr<heartbeat_reactor> connection; ///< Connection on which the answer is sent.
+    std::uint64_t number = 0;                      ///< Number of the heartbeat, repeated in the answer.
+    process_id gateway;                            ///< Process that sent the heartbeat.
+    bool from_sidecar = false; ///< True for a probe by a sidecar of the process at this address.
 };
 
-/// What the deciding thread takes out of its ring.
+/// Event in the ring of the decision thread.
 using shell_event = std::variant<sidecar_event, heartbeat_event>;
 
-/// Hands an event to the deciding thread; false if its ring is full.
+/// Posts an event to the decision thread. Returns false if its ring is full.
 using shell_sink = std::function<bool(shell_event)>;
 
 } // namespace dragonflymill::sidecar
--- a/src/sidecar/sidecar_daemon.cpp
+++ b/src/sidecar/sidecar_daemon.cpp
@@ -45,7 +45,7 @@
     boost::asio::signal_set signals_{context_, SIGTERM, SIGINT};
     std::unique_ptr<control::admin_server> admin_;
     int exit_code_ = exit_ok;
-    bool was_ready_ = false; // the control thread's own
+    bool was_ready_ = false; // used on the control thread only
 };
 
 auto sidecar_daemon::run() -> int
--- a/src/sidecar/sidecar_daemon.h
+++ b/src/sidecar/sidecar_daemon.h
@@ -4,7 +4,7 @@
 
 namespace dragonflymill {
 
-/// Runs a sidecar until it is told to stop; the answer is the process's exit code.
+/// Runs a sidecar until it is stopped or superseded. Returns the exit code of the process.
 [[nodiscard]] auto run_sidecar(const sidecar_settings& settings) -> int;
 
 } // namespace dragonflymill
--- a/src/sidecar/sidecar_log.cpp
+++ b/src/sidecar/sidecar_log.cpp
@@ -47,7 +47,7 @@
 
 void sidecar_log::log(const upstream_load& load)
 {
-    const bool has_reported = start_ != incarnation{}; // a plain service never does
+    const bool has_reported = start_ != incarnation{}; // a plain service never reports
     const bool silent = has_reported && load.age > max_silence;
     if (std::exchange(was_silent_, silent) != silent) {
         log_event(silent ? event::upstream_unreachable : event::upstream_answers);
--- a/src/sidecar/sidecar_log.h
+++ b/src/sidecar/sidecar_log.h
@@ -8,22 +8,23 @@
 
 namespace dragonflymill::sidecar {
 
-/// Logs what an upstream and its calls go through, from what the sidecar's core takes in and wants done. Used
-/// by the deciding thread alone.
+/// Logs changes of the upstream's state and of its calls, derived from the inputs and outputs of the
+/// sidecar's core. Used on the decision thread only.
 class sidecar_log
 {
 public:
-    /// Logs what is about to be taken in.
+    /// Logs an input that the core is about to handle.
     void log(const sidecar_event& input);
-    /// Logs what is about to be done.
+    /// Logs an action that is about to be applied.
     void log(const sidecar_action& action);
-    /// Logs how the upstream's state changed since the last call.
+    /// Logs changes of the upstream's state since the last call: unreachable or answering, cold or warm.
     void log(const upstream_load& load);
 
-    /// An engine whose last report is older does not answer.
+    /// An engine is logged as unreachable when its last report is older than this.
     static constexpr duration max_silence = 5s;
 
-    /// Cancels without confirmation that are kept track of; further ones are logged once each.
+    /// Maximum number of unconfirmed cancels that are tracked. Repetitions of further ones are not
+    /// recognized.
     static constexpr std::size_t max_tracked_cancels = 4'096;
 
 private:
--- a/src/sidecar/sidecar_probe.cpp
+++ b/src/sidecar/sidecar_probe.cpp
@@ -22,7 +22,7 @@
     rpc::keep_transport_alive();
     grpc::ChannelArguments arguments;
     arguments.SetInt(GRPC_ARG_ENABLE_RETRIES, 0);
-    // Without a pool of its own a channel shares the connection of an earlier one.
+    // Without a local subchannel pool, a channel would reuse the connection of an earlier channel.
     arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);
     return wire::sidecar_gate::NewStub(
         grpc::CreateCustomChannel(address, grpc::InsecureChannelCredentials(), arguments));
@@ -38,7 +38,7 @@
     return models;
 }
 
-/// One question and its answer; deletes itself at its end.
+/// One probe and its answer; deletes itself when the call is done.
 class probe_call final : public grpc::ClientBidiReactor<wire::heartbeat_ping, wire::heartbeat_pong>
 {
 public:
@@ -72,7 +72,7 @@
     void OnDone(const grpc::Status& /*status*/) override
     {
         calls_.end(context_);
-        delete this; // NOLINT(cppcoreguidelines-owning-memory): gRPC's way
+        delete this; // NOLINT(cppcoreguidelines-owning-memory): gRPC reactors own themselves until OnDone
     }
 
 private:
@@ -95,7 +95,7 @@
 
 void sidecar_probe::probe(const std::string& address)
 {
-    // NOLINTNEXTLINE(cppcoreguidelines-owning-memory): gRPC's way
+    // NOLINTNEXTLINE(cppcoreguidelines-owning-memory): gRPC reactors own themselves until OnDone
     new probe_call(address, self_, events_, calls_);
 }
 
--- a/src/sidecar/sidecar_probe.h
+++ b/src/sidecar/sidecar_probe.h
@@ -8,24 +8,26 @@
 
 namespace dragonflymill::sidecar {
 
-/// Asks a sidecar, this one or another, who answers at its address and what its engine has. Every question
-/// has a connection of its own: an old connection may still lead to a process that has lost the address.
+/// Probes the address of a sidecar (this one or another) for the process that answers there and the models of
+/// its engine. Each probe opens a new connection: an old connection may still lead to a process that no
+/// longer listens on the address.
 class sidecar_probe
 {
 public:
-    /// Takes every answer, on gRPC's threads; no answer is no event.
+    /// Receives each answer, on gRPC's threads. A probe without an answer produces no event.
     using sink = std::function<void(sidecar_event)>;
 
-    /// Asks as the process `self`.
+    /// Sends probes in the name of the process `self`.
     sidecar_probe(process_id self, sink events);
 
-    /// Asks the sidecar at `address`.
+    /// Sends one probe to the sidecar at `address`.
     void probe(const std::string& address);
 
 private:
     process_id self_;
     sink events_;
-    rpc::call_tracker calls_; // last, so that its calls end before anything else goes
+    rpc::call_tracker
+        calls_; // declared last: its destructor ends the calls before other members are destroyed
 };
 
 } // namespace dragonflymill::sidecar
--- a/src/sidecar/sidecar_server.cpp
+++ b/src/sidecar/sidecar_server.cpp
@@ -19,8 +19,8 @@
 constexpr duration status_interval = 250ms;
 constexpr std::uint64_t microseconds_per_second = 1'000'000;
 
-/// Text of about that many tokens. It begins with a name that was never used before, so that no engine has
-/// it in its cache.
+/// Returns a prompt of about `tokens` tokens. It begins with the unique `name`, so the engine can't serve it
+/// from its prefix cache.
 auto warm_up_prompt(const std::string& name, token_count tokens) -> std::string
 {
     constexpr std::size_t bytes_per_token = 4;
@@ -50,7 +50,7 @@
     , service_client_(upstream_thread_.context(), tcp_endpoint(settings.upstream.address).value(),
                       settings.upstream.connect_timeout,
                       [this](sidecar_event event) { post(std::move(event)); })
-    // An answer that finds the ring full is given up: the question is asked again.
+    // A probe's answer that finds the event ring full is dropped: the probe is repeated.
     , probe_(process_,
              [this](sidecar_event event) { static_cast<void>(decision_thread_.post(std::move(event))); })
 {
@@ -67,8 +67,8 @@
                              static_cast<double>(microseconds_per_second) / settings.upstream.prefill_rate};
     }
     options.ledger.upstream = settings.upstream.id;
-    // No host keeps anything, so a start is numbered by civil time: later starts have higher numbers, and two
-    // starts of one sidecar are never a microsecond apart.
+    // Hosts store no state, so the incarnation is the wall-clock time of the start in microseconds: later
+    // starts get higher numbers, and two starts of one sidecar are always more than a microsecond apart.
     options.ledger.self = incarnation_;
     options.start_seconds = static_cast<std::uint32_t>(incarnation_.value() / microseconds_per_second);
     options.ledger.started = runtime::now();
@@ -99,7 +99,7 @@
     const auto own = std::find_if(upstreams.begin(), upstreams.end(),
                                   [this](const upstream_entry& entry) { return entry.id == own_upstream_; });
     if (own == upstreams.end()) {
-        post(sidecar_input::drain_changed{true}); // the bundle no longer has it
+        post(sidecar_input::drain_changed{true}); // the bundle no longer lists this upstream
         return;
     }
     if (snapshot.in_force != adopted_bundle_) {
@@ -141,8 +141,8 @@
 
 void sidecar_server::post(sidecar_event event)
 {
-    // The poster waits for room: it reads from the upstream, which then waits too. Nothing of an answer is
-    // lost.
+    // Blocks while the ring is full. The caller reads from the upstream, so this applies backpressure and no
+    // part of an answer is lost.
     static_cast<void>(decision_thread_.post_waiting(std::move(event)));
 }
 
@@ -245,7 +245,7 @@
 {
     const auto call = gate_service_.find_attempt(action.call);
     if (!call) {
-        return; // it was cancelled meanwhile, and the core hears of it next
+        return; // cancelled in the meantime; the core receives the cancellation as one of its next events
     }
     timeline_.record(action.spec.request, "engine_start", action.engine_request);
     boost::asio::post(upstream_thread_.context(),
--- a/src/sidecar/sidecar_server.h
+++ b/src/sidecar/sidecar_server.h
@@ -22,31 +22,32 @@
 
 namespace dragonflymill::sidecar {
 
-/// The thread that decides, and the hands that carry out what it decides.
+/// Runs the sidecar's core on the decision thread and applies its actions through the gRPC service and the
+/// upstream clients.
 class sidecar_server
 {
 public:
-    /// A shell for `settings`; `on_all_done` is called on the deciding thread once a stop is finished,
-    /// `on_superseded` when the process was paused for too long to go on.
+    /// Creates a server for `settings`. `on_all_done` is called on the decision thread when a planned stop is
+    /// complete, `on_superseded` when the process was paused for so long that it may not continue.
     sidecar_server(const sidecar_settings& settings, std::string ticket_key, timeline_recorder& timeline,
                    std::function<void()> on_all_done, std::function<void()> on_superseded);
 
     /// Starts the threads.
     void start();
-    /// Takes over what the control plane knows; called on one thread.
+    /// Applies a snapshot of the control plane; called on the control thread only.
     void adopt(const control::control_snapshot& snapshot);
-    /// A peer asked then has no newer bundle in force.
+    /// Reports that a peer, asked at `asked`, has no newer bundle in force.
     void bundle_confirmed(instant asked) { post(sidecar_input::bundle_confirmed{asked}); }
-    /// Gateways can reach `service()` from now on.
+    /// Reports that gateways can reach `service()`.
     void listening() { post(sidecar_input::listening{}); }
-    /// What operators see of it.
+    /// Returns the status shown to operators.
     [[nodiscard]] auto status() const -> process_status { return status_.get(); }
-    /// Begins a planned stop.
+    /// Starts a planned stop.
     void stop();
-    /// Ends the threads.
+    /// Stops and joins the threads.
     void join();
 
-    /// What gateways call.
+    /// Returns the gRPC service for gateways.
     [[nodiscard]] auto service() -> gate_service& { return gate_service_; }
 
 private:
@@ -98,8 +99,8 @@
     instant next_status_;
     runtime::latest<process_status> status_;
     bool is_engine_ = false;
-    std::shared_ptr<const bundle> adopted_bundle_; // the control thread's own
-    sidecar_probe probe_;                          // last, so that its calls end before anything else goes
+    std::shared_ptr<const bundle> adopted_bundle_; // used on the control thread only
+    sidecar_probe probe_; // declared last: its destructor ends the calls before other members are destroyed
 };
 
 } // namespace dragonflymill::sidecar
--- a/src/sidecar/unary_reactor.h
+++ b/src/sidecar/unary_reactor.h
@@ -10,13 +10,13 @@
 
 namespace dragonflymill::sidecar {
 
-/// The sidecar's end of one call with a single answer, which the deciding thread gives later.
+/// Server side of one unary call, which the decision thread answers later.
 template <typename Reply>
 class unary_reactor final : public grpc::ServerUnaryReactor
 {
 public:
-    /// Takes the call over; `on_cancel` is told when the gateway no longer waits, `on_gone` when the call is
-    /// over.
+    /// Creates the reactor of a call; it owns itself until the call is done. `on_cancel` is called when the
+    /// gateway cancels the call, `on_done` when the call is done.
     static auto open(Reply* reply, std::function<void()> on_cancel, std::function<void()> on_done)
         -> std::shared_ptr<unary_reactor>
     {
@@ -26,7 +26,7 @@
         return reactor;
     }
 
-    /// Answers the call; later answers are dropped.
+    /// Answers the call; further answers are ignored.
     void answer(Reply reply)
     {
         const std::lock_guard lock(mutex_);
@@ -51,7 +51,7 @@
     void OnDone() override
     {
         on_done_();
-        const auto last = std::move(self_);
+        const auto self = std::move(self_); // destroys the reactor at the end of this scope
     }
 
 private:
@@ -65,7 +65,7 @@
     Reply* reply_;
     std::function<void()> on_cancel_;
     std::function<void()> on_done_;
-    std::shared_ptr<unary_reactor> self_; // keeps it alive until OnDone
+    std::shared_ptr<unary_reactor> self_; // keeps the reactor alive until OnDone
     std::mutex mutex_;
     bool finished_ = false;
 };
