--- a/src/sidecar/attempt_reactor.cpp
+++ b/src/sidecar/attempt_reactor.cpp
@@ -191,7 +191,7 @@
 void attempt_reactor::OnDone()
 {
     on_done_(call_);
-    const auto self = std::move(self_); // destroys the reactor at the end of this scope
+    const auto self = std::move(self_); // releases the reference that kept the reactor alive
 }
 
 } // namespace dragonflymill::sidecar
--- a/src/sidecar/heartbeat_reactor.cpp
+++ b/src/sidecar/heartbeat_reactor.cpp
@@ -64,7 +64,7 @@
 
 void heartbeat_reactor::OnDone()
 {
-    const auto self = std::move(self_); // destroys the reactor at the end of this scope
+    const auto self = std::move(self_); // releases the reference that kept the reactor alive
 }
 
 } // namespace dragonflymill::sidecar
--- a/src/sidecar/sidecar_daemon.cpp
+++ b/src/sidecar/sidecar_daemon.cpp
@@ -74,16 +74,16 @@
 
 auto sidecar_daemon::serve(std::string ticket_key) -> int
 {
-    const auto end = [this](int code) {
+    const auto exit_with = [this](int code) {
         boost::asio::post(context_, [this, code] {
             exit_code_ = code;
             context_.stop();
         });
     };
     sidecar::sidecar_server server(
-        settings_, std::move(ticket_key), timeline_, [end] { end(exit_ok); },
-        [end] { end(exit_superseded); });
-    auto control = open_control(server, [end] { end(exit_superseded); });
+        settings_, std::move(ticket_key), timeline_, [exit_with] { exit_with(exit_ok); },
+        [exit_with] { exit_with(exit_superseded); });
+    auto control = open_control(server, [exit_with] { exit_with(exit_superseded); });
     if (!control) {
         std::fprintf(stderr, "%s\n", control.error().text().c_str());
         return exit_failed;
--- a/src/sidecar/sidecar_probe.h
+++ b/src/sidecar/sidecar_probe.h
@@ -26,8 +26,7 @@
 private:
     process_id self_;
     sink events_;
-    rpc::call_tracker
-        calls_; // declared last: its destructor ends the calls before other members are destroyed
+    rpc::call_tracker calls_; // declared last: ends the calls before other members are destroyed
 };
 
 } // namespace dragonflymill::sidecar
--- a/src/sidecar/sidecar_server.h
+++ b/src/sidecar/sidecar_server.h
@@ -100,7 +100,7 @@
     runtime::latest<process_status> status_;
     bool is_engine_ = false;
     std::shared_ptr<const bundle> adopted_bundle_; // used on the control thread only
-    sidecar_probe probe_; // declared last: its destructor ends the calls before other members are destroyed
+    sidecar_probe probe_; // declared last: ends its calls before other members are destroyed
 };
 
 } // namespace dragonflymill::sidecar
--- a/src/sidecar/unary_reactor.h
+++ b/src/sidecar/unary_reactor.h
@@ -51,7 +51,7 @@
     void OnDone() override
     {
         on_done_();
-        const auto self = std::move(self_); // destroys the reactor at the end of this scope
+        const auto self = std::move(self_); // releases the reference that kept the reactor alive
     }
 
 private:
