--- a/src/sidecar/sidecar_probe.cpp
+++ b/src/sidecar/sidecar_probe.cpp
@@ -22,7 +22,7 @@
     rpc::keep_transport_alive();
     grpc::ChannelArguments arguments;
     arguments.SetInt(GRPC_ARG_ENABLE_RETRIES, 0);
-    // Without a pool of its own a channel shares the connection of an earlier one.
+    // Without a local subchannel pool, a channel would reuse the connection of an earlier channel.
     arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);
     return wire::sidecar_gate::NewStub(
         grpc::CreateCustomChannel(address, grpc::InsecureChannelCredentials(), arguments));
@@ -38,7 +38,7 @@
     return models;
 }
 
-/// One question and its answer; deletes itself at its end.
+/// One probe and its answer; deletes itself when the call is done.
 class probe_call final : public grpc::ClientBidiReactor<wire::heartbeat_ping, wire::heartbeat_pong>
 {
 public:
@@ -47,7 +47,7 @@
         : stub_(stub_for(address))
         , events_(std::move(events))
         , calls_(calls)
-        , asked_(runtime::now())
+        , sent_at_(runtime::now())
     {
         ping_.set_number(1);
         ping_.set_sender(self.text());
@@ -63,7 +63,7 @@
     void OnReadDone(bool ok) override
     {
         if (ok) {
-            events_(sidecar_input::sidecar_answered{upstream_id(pong_.upstream()), asked_,
+            events_(sidecar_input::sidecar_answered{upstream_id(pong_.upstream()), sent_at_,
                                                     incarnation(pong_.holder()), models_of(pong_.models()),
                                                     models_of(pong_.loading()), pong_.load().draining()});
             context_.TryCancel();
@@ -72,14 +72,14 @@
     void OnDone(const grpc::Status& /*status*/) override
     {
         calls_.end(context_);
-        delete this; // NOLINT(cppcoreguidelines-owning-memory): gRPC's way
+        delete this; // NOLINT(cppcoreguidelines-owning-memory): gRPC reactors own themselves until OnDone
     }
 
 private:
     std::unique_ptr<wire::sidecar_gate::Stub> stub_;
     sidecar_probe::sink events_;
     rpc::call_tracker& calls_;
-    instant asked_;
+    instant sent_at_;
     grpc::ClientContext context_;
     wire::heartbeat_ping ping_;
     wire::heartbeat_pong pong_;
@@ -93,9 +93,9 @@
 {
 }
 
-void sidecar_probe::ask(const std::string& address)
+void sidecar_probe::probe(const std::string& address)
 {
-    // NOLINTNEXTLINE(cppcoreguidelines-owning-memory): gRPC's way
+    // NOLINTNEXTLINE(cppcoreguidelines-owning-memory): gRPC reactors own themselves until OnDone
     new probe_call(address, self_, events_, calls_);
 }
 
--- a/src/sidecar/sidecar_server.h
+++ b/src/sidecar/sidecar_server.h
@@ -22,32 +22,33 @@
 
 namespace dragonflymill::sidecar {
 
-/// The thread that decides, and the hands that carry out what it decides.
+/// Runs the sidecar's core on the decision thread and applies its actions through the gRPC service and the
+/// upstream clients.
 class sidecar_server
 {
 public:
-    /// A shell for `settings`; `on_all_done` is called on the deciding thread once a stop is finished,
-    /// `on_superseded` when the process was paused for too long to go on.
+    /// Creates a server for `settings`. `on_all_done` is called on the decision thread when a planned stop is
+    /// complete, `on_superseded` when the process was paused for so long that it may not continue.
     sidecar_server(const sidecar_settings& settings, std::string ticket_key, timeline_recorder& timeline,
                    std::function<void()> on_all_done, std::function<void()> on_superseded);
 
     /// Starts the threads.
     void start();
-    /// Takes over what the control plane knows; called on one thread.
+    /// Applies a snapshot of the control plane; called on the control thread only.
     void adopt(const control::control_snapshot& snapshot);
-    /// A peer asked then has no newer bundle in force.
+    /// Reports that a peer, asked at `asked`, has no newer bundle in force.
     void bundle_confirmed(instant asked) { post(sidecar_input::bundle_confirmed{asked}); }
-    /// Gateways can reach `service()` from now on.
+    /// Reports that gateways can reach `service()`.
     void listening() { post(sidecar_input::listening{}); }
-    /// What operators see of it.
+    /// Returns the status shown to operators.
     [[nodiscard]] auto status() const -> process_status { return status_.get(); }
-    /// Begins a planned stop.
+    /// Starts a planned stop.
     void stop();
-    /// Ends the threads.
+    /// Stops and joins the threads.
     void join();
 
-    /// What gateways call.
-    [[nodiscard]] auto service() -> gate_service& { return gate_; }
+    /// Returns the gRPC service for gateways.
+    [[nodiscard]] auto service() -> gate_service& { return gate_service_; }
 
 private:
     void adopt_bundle(const bundle& in_force, const upstream_entry& own);
@@ -55,51 +56,51 @@
         -> sidecar_core_options;
     void post(sidecar_event event);
     void handle(std::optional<shell_event> event);
-    void carry_out(const std::vector<sidecar_action>& actions);
+    void apply_actions(const std::vector<sidecar_action>& actions);
     void publish_status(instant now);
     void answer_heartbeat(const heartbeat_event& event);
 
-    void act(const sidecar_output::grant_attempt& action);
-    void act(const sidecar_output::refuse_call& action);
-    void act(const sidecar_output::start_stream& action);
-    void act(const sidecar_output::start_warm_up& action);
-    void act(const sidecar_output::send_tokens& action);
-    void act(const sidecar_output::finish_attempt& action);
-    void act(const sidecar_output::cancel_stream& action);
-    void act(const sidecar_output::release_span& action);
-    void act(const sidecar_output::grant_share& action);
-    void act(const sidecar_output::refuse_share& action);
-    void act(const sidecar_output::confirm_share_return& action);
-    void act(const sidecar_output::run_service& action);
-    void act(const sidecar_output::answer_service& action);
-    void act(const sidecar_output::send_ticket& action);
-    void act(const sidecar_output::report_running& action);
-    void act(const sidecar_output::ask_sidecar& action);
-    void act(const sidecar_output::send_order& action);
-    void act(const sidecar_output::all_done& action);
+    void apply(const sidecar_output::grant_attempt& action);
+    void apply(const sidecar_output::refuse_call& action);
+    void apply(const sidecar_output::start_stream& action);
+    void apply(const sidecar_output::start_warm_up& action);
+    void apply(const sidecar_output::send_tokens& action);
+    void apply(const sidecar_output::finish_attempt& action);
+    void apply(const sidecar_output::cancel_stream& action);
+    void apply(const sidecar_output::release_span& action);
+    void apply(const sidecar_output::grant_share& action);
+    void apply(const sidecar_output::refuse_share& action);
+    void apply(const sidecar_output::confirm_share_return& action);
+    void apply(const sidecar_output::run_service& action);
+    void apply(const sidecar_output::answer_service& action);
+    void apply(const sidecar_output::send_ticket& action);
+    void apply(const sidecar_output::report_running& action);
+    void apply(const sidecar_output::ask_sidecar& action);
+    void apply(const sidecar_output::send_order& action);
+    void apply(const sidecar_output::all_done& action);
 
-    upstream_id self_;
+    upstream_id own_upstream_;
     process_id process_;
     timeline_recorder& timeline_;
-    attempt_timeline tries_;
-    sidecar_log log_;
+    attempt_timeline attempt_timeline_;
+    sidecar_log sidecar_log_;
     order_log order_log_;
     std::function<void()> on_all_done_;
     std::function<void()> on_superseded_;
-    incarnation start_;
+    incarnation incarnation_;
     sidecar_core core_;
-    runtime::duty_thread<shell_event> decide_;
+    runtime::duty_thread<shell_event> decision_thread_;
     runtime::io_thread upstream_thread_;
-    gate_service gate_;
+    gate_service gate_service_;
     upstream::engine_client engine_;
     upstream::service_client service_client_;
     instant last_tick_;
-    pause_log pauses_;
+    pause_log pause_log_;
     instant next_status_;
     runtime::latest<process_status> status_;
     bool is_engine_ = false;
-    std::shared_ptr<const bundle> adopted_; // the control thread's own
-    sidecar_probe probe_;                   // last, so that its calls end before anything else goes
+    std::shared_ptr<const bundle> adopted_bundle_; // used on the control thread only
+    sidecar_probe probe_; // declared last: ends its calls before other members are destroyed
 };
 
 } // namespace dragonflymill::sidecar
--- a/src/sidecar/unary_reactor.h
+++ b/src/sidecar/unary_reactor.h
@@ -10,23 +10,23 @@
 
 namespace dragonflymill::sidecar {
 
-/// The sidecar's end of one call with a single answer, which the deciding thread gives later.
+/// Server side of one unary call, which the decision thread answers later.
 template <typename Reply>
 class unary_reactor final : public grpc::ServerUnaryReactor
 {
 public:
-    /// Takes the call over; `on_cancel` is told when the gateway no longer waits, `on_gone` when the call is
-    /// over.
-    static auto open(Reply* reply, std::function<void()> on_cancel, std::function<void()> on_gone)
+    /// Creates the reactor of a call; it owns itself until the call is done. `on_cancel` is called when the
+    /// gateway cancels the call, `on_done` when the call is done.
+    static auto open(Reply* reply, std::function<void()> on_cancel, std::function<void()> on_done)
         -> std::shared_ptr<unary_reactor>
     {
-        std::shared_ptr<unary_reactor> made(
-            new unary_reactor(reply, std::move(on_cancel), std::move(on_gone)));
-        made->self_ = made;
-        return made;
+        std::shared_ptr<unary_reactor> reactor(
+            new unary_reactor(reply, std::move(on_cancel), std::move(on_done)));
+        reactor->self_ = reactor;
+        return reactor;
     }
 
-    /// Answers the call; later answers are dropped.
+    /// Answers the call; further answers are ignored.
     void answer(Reply reply)
     {
         const std::lock_guard lock(mutex_);
@@ -50,22 +50,22 @@
 
     void OnDone() override
     {
-        on_gone_();
-        const auto last = std::move(self_);
+        on_done_();
+        const auto self = std::move(self_); // releases the reference that kept the reactor alive
     }
 
 private:
-    unary_reactor(Reply* reply, std::function<void()> on_cancel, std::function<void()> on_gone)
+    unary_reactor(Reply* reply, std::function<void()> on_cancel, std::function<void()> on_done)
         : reply_(reply)
         , on_cancel_(std::move(on_cancel))
-        , on_gone_(std::move(on_gone))
+        , on_done_(std::move(on_done))
     {
     }
 
     Reply* reply_;
     std::function<void()> on_cancel_;
-    std::function<void()> on_gone_;
-    std::shared_ptr<unary_reactor> self_; // keeps it alive until OnDone
+    std::function<void()> on_done_;
+    std::shared_ptr<unary_reactor> self_; // keeps the reactor alive until OnDone
     std::mutex mutex_;
     bool finished_ = false;
 };
