--- a/src/bundle/boot_answers.cpp
+++ b/src/bundle/boot_answers.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::size_t max_answers = 256;
 // One failure domain alone may be cut off and have been restarted as a whole.
-constexpr std::size_t wanted_domains = 2;
+constexpr std::size_t required_domains = 2;
 
 } // namespace
 
@@ -68,15 +68,15 @@
 
 auto boot_answers::decided(instant now) -> bool
 {
-    const auto wanted = std::min(wanted_domains, settings_.failure_domains);
+    const auto required = std::min(required_domains, settings_.failure_domains);
     const auto with_bundle = domains(true);
-    const bool waited = first_bundle_ && now - *first_bundle_ >= settings_.patience;
+    const bool wait_elapsed = first_bundle_ && now - *first_bundle_ >= settings_.patience;
     // Peers that lag behind may answer first: the others asked are waited for as long as patience lasts.
-    const bool found = (with_bundle >= wanted && all_answered()) || (with_bundle > 0 && waited);
+    const bool found = (with_bundle >= required && all_answered()) || (with_bundle > 0 && wait_elapsed);
     // A restarted failure domain whose processes only reach each other shows as "nobody has a bundle", the
     // same as the very first start. Asking for a second failure domain, and for a while, tells them apart.
     const bool first_start =
-        with_bundle == 0 && domains(false) >= wanted && now - started_ >= settings_.first_start_patience;
+        with_bundle == 0 && domains(false) >= required && now - started_ >= settings_.first_start_patience;
     decided_ = decided_ || found || first_start;
     return decided_;
 }
--- a/src/bundle/bundle_checks.cpp
+++ b/src/bundle/bundle_checks.cpp
@@ -14,11 +14,11 @@
     explicit bundle_checker(const bundle& value)
         : bundle_(value)
     {
-        collect("failure_domain", value.domains, domains_);
-        collect("upstream", value.upstreams, upstreams_);
-        collect("model", value.models, models_);
-        collect("route", value.service_routes, routes_);
-        collect("account", value.accounts, accounts_);
+        collect_ids("failure_domain", value.domains, domains_);
+        collect_ids("upstream", value.upstreams, upstreams_);
+        collect_ids("model", value.models, models_);
+        collect_ids("route", value.service_routes, routes_);
+        collect_ids("account", value.accounts, accounts_);
         for (const auto& partner : value.partners) {
             if (!partners_.insert(partner.name).second) {
                 add("partner " + partner.name, "", "named twice", "keep one of the two");
@@ -28,7 +28,7 @@
 
     auto run() -> std::vector<bundle_fault>
     {
-        check_whole();
+        check_bundle_section();
         for (const auto& entry : bundle_.upstreams) {
             check_upstream(entry);
         }
@@ -47,7 +47,7 @@
     }
 
     template <typename Entry, typename Id>
-    void collect(const std::string& kind, const std::vector<Entry>& entries, std::set<Id>& ids)
+    void collect_ids(const std::string& kind, const std::vector<Entry>& entries, std::set<Id>& ids)
     {
         for (const auto& entry : entries) {
             if (!ids.insert(entry.id).second) {
@@ -56,7 +56,7 @@
         }
     }
 
-    void check_whole()
+    void check_bundle_section()
     {
         if (bundle_.version.value() == 0) {
             add("bundle", "version", "is 0", "start at 1 and raise it with every bundle");
@@ -65,9 +65,9 @@
             add("bundle", "", "names " + std::to_string(bundle_.partners.size()) + " partners",
                 "name the two that sign, each in a [partner NAME] section");
         }
-        const bool any = std::any_of(bundle_.domains.begin(), bundle_.domains.end(),
-                                     [](const auto& domain) { return domain.in_service; });
-        if (!bundle_.domains.empty() && !any) {
+        const bool any_in_service = std::any_of(bundle_.domains.begin(), bundle_.domains.end(),
+                                                [](const auto& domain) { return domain.in_service; });
+        if (!bundle_.domains.empty() && !any_in_service) {
             add("failure_domain " + bundle_.domains.front().id.text(), "in_service",
                 "no failure domain is in service", "leave at least one in service");
         }
--- a/src/bundle/bundle_codec.cpp
+++ b/src/bundle/bundle_codec.cpp
@@ -132,7 +132,7 @@
     return text;
 }
 
-auto head_text(const bundle& value) -> std::string
+auto encode_head(const bundle& value) -> std::string
 {
     return "[bundle]\n" + line("version", std::to_string(value.version.value())) +
            line("term_end", to_text(value.term_end)) + encode_all(value.partners) + encode_all(value.domains);
@@ -146,8 +146,8 @@
 }
 
 template <typename Entry>
-void spread(std::string_view kind, const std::vector<Entry>& entries,
-            std::map<std::string, std::string>& sections)
+void append_to_buckets(std::string_view kind, const std::vector<Entry>& entries,
+                       std::map<std::string, std::string>& sections)
 {
     for (const auto& entry : entries) {
         sections[bucket_name(kind, entry.id.text())] += encode(entry);
@@ -165,7 +165,7 @@
 auto encode_bundle(const bundle& value) -> std::string
 {
     const auto ordered = sorted(value);
-    return head_text(ordered) + encode_all(ordered.models) + encode_all(ordered.upstreams) +
+    return encode_head(ordered) + encode_all(ordered.models) + encode_all(ordered.upstreams) +
            encode_all(ordered.service_routes) + encode_all(ordered.accounts);
 }
 
@@ -185,11 +185,11 @@
 {
     const auto ordered = sorted(value);
     std::map<std::string, std::string> sections;
-    sections["head"] = head_text(ordered);
+    sections["head"] = encode_head(ordered);
     sections["models"] = encode_all(ordered.models);
     sections["routes"] = encode_all(ordered.service_routes);
-    spread("upstreams", ordered.upstreams, sections);
-    spread("accounts", ordered.accounts, sections);
+    append_to_buckets("upstreams", ordered.upstreams, sections);
+    append_to_buckets("accounts", ordered.accounts, sections);
     std::vector<bundle_section> split;
     for (auto& [name, text] : sections) {
         if (!text.empty()) {
--- a/src/bundle/bundle_manager.cpp
+++ b/src/bundle/bundle_manager.cpp
@@ -229,8 +229,8 @@
                         outputs);
         return;
     }
-    const bool better_under_way = pending_ && supersedes(pending_->word, word);
-    if (!better_under_way) {
+    const bool newer_pending = pending_ && supersedes(pending_->word, word);
+    if (!newer_pending) {
         take_up(now, origin, std::move(value), std::move(keys).value(), outputs);
     }
     else if (origin.kind == bundle_origin_kind::service) {
@@ -345,8 +345,8 @@
         return;
     }
     const auto best = boot_.best();
-    const bool held_back = !in_force_ && (!boot_.decided(now) || (best && supersedes(*best, pending_->word)));
-    if (!held_back || !guard_holds(guard::bundle_revert)) {
+    const bool must_wait = !in_force_ && (!boot_.decided(now) || (best && supersedes(*best, pending_->word)));
+    if (!must_wait || !guard_holds(guard::bundle_revert)) {
         adopt_pending(outputs);
     }
 }
--- a/src/bundle/bundle_manager_report.cpp
+++ b/src/bundle/bundle_manager_report.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-constexpr std::size_t max_remembered = 16;
+constexpr std::size_t max_list_entries = 16;
 
 template <typename T>
-void remember(std::vector<T>& list, T item)
+void append_bounded(std::vector<T>& list, T item)
 {
-    if (list.size() >= max_remembered) {
+    if (list.size() >= max_list_entries) {
         list.erase(list.begin());
     }
     list.push_back(std::move(item));
@@ -26,7 +26,7 @@
 void bundle_manager::reject(const bundle_origin& origin, error why, bundle_manager_outputs& outputs)
 {
     reject_bundle rejection{origin, std::move(why)};
-    remember(rejections_, rejection);
+    append_bounded(rejections_, rejection);
     ++rejected_count_;
     outputs.push_back(std::move(rejection));
 }
@@ -36,7 +36,7 @@
 void bundle_manager::reject_offer(instant now, const bundle_notice& word, const bundle_origin& origin,
                                   error why, bundle_manager_outputs& outputs)
 {
-    remember(bad_offers_, {word, origin});
+    append_bounded(bad_offers_, {word, origin});
     reject(origin, std::move(why), outputs);
     boot_.remove(origin.peer);
     if (pending_ && pending_->word == word && !pending_->manifest) {
@@ -49,7 +49,7 @@
 void bundle_manager::reject_for_good(const bundle_notice& word, const bundle_origin& origin, error why,
                                      bundle_manager_outputs& outputs)
 {
-    remember(bad_, word);
+    append_bounded(bad_, word);
     boot_.forget(word);
     reject(origin, std::move(why), outputs);
     if (pending_ && pending_->word == word) {
@@ -65,7 +65,7 @@
     if (!conflict || std::find(conflicts_.begin(), conflicts_.end(), other) != conflicts_.end()) {
         return;
     }
-    remember(conflicts_, other);
+    append_bounded(conflicts_, other);
     outputs.push_back(bundle_alarm{bundle_alarm::kind_type::two_of_one_version,
                                    "two bundles of " + text_of_version(other) + ": " +
                                        in_force_->word.digest.hex() + " here, " + other.digest.hex() +
--- a/src/bundle/bundle_source.cpp
+++ b/src/bundle/bundle_source.cpp
@@ -45,7 +45,7 @@
     return parse_hex(text, key_bytes);
 }
 
-auto parse_small_count(std::string_view text) -> result<std::uint32_t>
+auto parse_uint32(std::string_view text) -> result<std::uint32_t>
 {
     const auto value = parse_count(text);
     if (value.has_error()) {
@@ -58,7 +58,7 @@
     return static_cast<std::uint32_t>(value.value());
 }
 
-void read_whole(section_reader& reader, bundle& value)
+void read_bundle_section(section_reader& reader, bundle& value)
 {
     reader.value("version", parse_count, value.version);
     reader.value("term_end", parse_wall_instant, value.term_end);
@@ -124,8 +124,8 @@
     reader.value("key_sha256", parse_key, entry.key_sha256);
     reader.value("requests", parse_rate, entry.requests_per_second);
     reader.value("tokens", parse_rate, entry.tokens_per_second);
-    reader.value("max_in_flight", parse_small_count, entry.max_in_flight);
-    reader.value("weight", parse_small_count, entry.weight, false);
+    reader.value("max_in_flight", parse_uint32, entry.max_in_flight);
+    reader.value("weight", parse_uint32, entry.weight, false);
     reader.value("priority", parse_priority, entry.request_priority, false);
     value.accounts.push_back(std::move(entry));
 }
@@ -134,7 +134,7 @@
 auto read_section(section_reader& reader, const ini_section& section, bundle& value) -> bool
 {
     if (section.kind == "bundle") {
-        read_whole(reader, value);
+        read_bundle_section(reader, value);
     }
     else if (section.kind == "partner") {
         read_partner(reader, section.name, value);
@@ -161,13 +161,13 @@
     return true;
 }
 
-void check_name(section_reader& reader, const ini_section& section)
+void check_section_name(section_reader& reader, const ini_section& section)
 {
-    const bool whole = section.kind == "bundle";
-    if (whole && !section.name.empty()) {
+    const bool is_bundle_section = section.kind == "bundle";
+    if (is_bundle_section && !section.name.empty()) {
         reader.add(section.line, "", "takes no name", "write [bundle]");
     }
-    else if (!whole && parse_name(section.name).has_error()) {
+    else if (!is_bundle_section && parse_name(section.name).has_error()) {
         reader.add(section.line, "", "has no usable name",
                    "use 1 to 64 letters, digits, dots, dashes and underscores");
     }
@@ -175,7 +175,7 @@
 
 void read_sections(const ini_document& document, bundle_reading& reading)
 {
-    std::size_t wholes = 0;
+    std::size_t bundle_sections = 0;
     for (const auto& section : document.sections) {
         section_reader reader(section, reading.mistakes);
         if (!read_section(reader, section, reading.value)) {
@@ -183,17 +183,17 @@
                        "use bundle, partner, failure_domain, upstream, model, route or account");
             continue;
         }
-        check_name(reader, section);
-        wholes += section.kind == "bundle" ? 1 : 0;
+        check_section_name(reader, section);
+        bundle_sections += section.kind == "bundle" ? 1 : 0;
     }
-    if (wholes != 1) {
-        reading.mistakes.push_back({0, "bundle", "stands " + std::to_string(wholes) + " times",
+    if (bundle_sections != 1) {
+        reading.mistakes.push_back({0, "bundle", "stands " + std::to_string(bundle_sections) + " times",
                                     "write one [bundle] section with version and term_end"});
     }
 }
 
 // The line that a cross check's fault is about: the key's, or else the section's.
-auto line_of(const ini_document& document, const bundle_fault& fault) -> std::size_t
+auto find_line(const ini_document& document, const bundle_fault& fault) -> std::size_t
 {
     std::size_t line = 0;
     for (const auto& section : document.sections) {
@@ -217,7 +217,7 @@
         const bool known = std::any_of(reading.mistakes.begin(), reading.mistakes.end(),
                                        [&subject](const auto& other) { return other.subject == subject; });
         if (!known && reading.mistakes.size() < max_source_mistakes) {
-            reading.mistakes.push_back({line_of(document, fault), subject, fault.problem, fault.remedy});
+            reading.mistakes.push_back({find_line(document, fault), subject, fault.problem, fault.remedy});
         }
     }
 }
--- a/src/bundle/ed25519.cpp
+++ b/src/bundle/ed25519.cpp
@@ -15,14 +15,14 @@
 using context_pointer = std::unique_ptr<EVP_MD_CTX, decltype(&EVP_MD_CTX_free)>;
 using bio_pointer = std::unique_ptr<BIO, decltype(&BIO_free)>;
 
-auto raw(std::string_view text) -> const unsigned char*
+auto unsigned_bytes(std::string_view text) -> const unsigned char*
 {
     return reinterpret_cast<const unsigned char*>(text.data());
 }
 
-auto shared(EVP_PKEY* key) -> std::shared_ptr<void>
+auto to_shared_key(EVP_PKEY* key) -> std::shared_ptr<void>
 {
-    return {key, [](void* held) { EVP_PKEY_free(static_cast<EVP_PKEY*>(held)); }};
+    return {key, [](void* pointer) { EVP_PKEY_free(static_cast<EVP_PKEY*>(pointer)); }};
 }
 
 auto key_error(std::string message) -> error
@@ -38,18 +38,18 @@
     if (key == nullptr) {
         return key_error("no key could be made");
     }
-    return ed25519_private_key(shared(key));
+    return ed25519_private_key(to_shared_key(key));
 }
 
 auto ed25519_private_key::from_seed(std::string_view seed) -> result<ed25519_private_key>
 {
-    auto* key = seed.size() == key_bytes
-                    ? EVP_PKEY_new_raw_private_key(EVP_PKEY_ED25519, nullptr, raw(seed), seed.size())
-                    : nullptr;
+    auto* key = seed.size() == key_bytes ? EVP_PKEY_new_raw_private_key(EVP_PKEY_ED25519, nullptr,
+                                                                        unsigned_bytes(seed), seed.size())
+                                         : nullptr;
     if (key == nullptr) {
         return key_error("a seed has 32 bytes");
     }
-    return ed25519_private_key(shared(key));
+    return ed25519_private_key(to_shared_key(key));
 }
 
 auto ed25519_private_key::from_pem(std::string_view pem) -> result<ed25519_private_key>
@@ -62,7 +62,7 @@
         EVP_PKEY_free(key);
         return key_error("not an unencrypted Ed25519 private key in PEM form");
     }
-    return ed25519_private_key(shared(key));
+    return ed25519_private_key(to_shared_key(key));
 }
 
 auto ed25519_private_key::pem() const -> result<std::string>
@@ -92,10 +92,10 @@
     auto* key = static_cast<EVP_PKEY*>(key_.get());
     std::string signature(signature_bytes, '\0');
     std::size_t size = signature.size();
-    const bool signed_now = EVP_DigestSignInit(context.get(), nullptr, nullptr, nullptr, key) == 1 &&
-                            EVP_DigestSign(context.get(), reinterpret_cast<unsigned char*>(signature.data()),
-                                           &size, raw(message), message.size()) == 1;
-    if (!signed_now) {
+    const bool succeeded = EVP_DigestSignInit(context.get(), nullptr, nullptr, nullptr, key) == 1 &&
+                           EVP_DigestSign(context.get(), reinterpret_cast<unsigned char*>(signature.data()),
+                                          &size, unsigned_bytes(message), message.size()) == 1;
+    if (!succeeded) {
         return key_error("the key can't sign");
     }
     return to_hex(signature);
@@ -110,12 +110,12 @@
         return false;
     }
     const std::unique_ptr<EVP_PKEY, decltype(&EVP_PKEY_free)> key(
-        EVP_PKEY_new_raw_public_key(EVP_PKEY_ED25519, nullptr, raw(key_text.value()), key_bytes),
+        EVP_PKEY_new_raw_public_key(EVP_PKEY_ED25519, nullptr, unsigned_bytes(key_text.value()), key_bytes),
         &EVP_PKEY_free);
     const context_pointer context(EVP_MD_CTX_new(), &EVP_MD_CTX_free);
     return key != nullptr && EVP_DigestVerifyInit(context.get(), nullptr, nullptr, nullptr, key.get()) == 1 &&
-           EVP_DigestVerify(context.get(), raw(signature_text.value()), signature_bytes, raw(message),
-                            message.size()) == 1;
+           EVP_DigestVerify(context.get(), unsigned_bytes(signature_text.value()), signature_bytes,
+                            unsigned_bytes(message), message.size()) == 1;
 }
 
 } // namespace dragonflymill
--- a/src/bundle/manifest_codec.cpp
+++ b/src/bundle/manifest_codec.cpp
@@ -67,7 +67,7 @@
     bool failed_ = false;
 };
 
-auto read_change(line_reader& reader) -> key_change
+auto read_key_change(line_reader& reader) -> key_change
 {
     key_change change;
     change.partner = reader.name();
@@ -98,7 +98,7 @@
         value.manifest.partners.push_back({std::move(name), reader.hex(key_bytes)});
     }
     while (value.manifest.key_changes.size() < max_key_changes && reader.next("key_change")) {
-        value.manifest.key_changes.push_back(read_change(reader));
+        value.manifest.key_changes.push_back(read_key_change(reader));
     }
     while (value.manifest.sections.size() < max_sections && reader.next("section")) {
         value.manifest.sections.push_back(read_section_reference(reader));
@@ -109,7 +109,7 @@
     }
 }
 
-auto unreadable() -> error
+auto malformed_manifest() -> error
 {
     return {error_kind::corrupt, "not a signed manifest",
             "make it with `dragonflymill bundle sign` and send it unchanged"};
@@ -149,22 +149,22 @@
 auto decode_signed_manifest(std::string_view text) -> result<signed_manifest>
 {
     if (text.size() > max_manifest_bytes) {
-        return unreadable();
+        return malformed_manifest();
     }
     line_reader reader(text);
     signed_manifest value;
     if (!reader.next(magic) || !reader.next("version")) {
-        return unreadable();
+        return malformed_manifest();
     }
     value.manifest.version = bundle_version(reader.number());
     if (!reader.next("term_end")) {
-        return unreadable();
+        return malformed_manifest();
     }
     value.manifest.term_end = reader.checked(parse_wall_instant(reader.word()));
     read_lists(reader, value);
     // Only the one canonical spelling is taken: two spellings of one manifest would have two digests.
     if (!reader.finished() || encode_signed_manifest(value) != text) {
-        return unreadable();
+        return malformed_manifest();
     }
     return value;
 }
--- a/src/bundle/section_reader.cpp
+++ b/src/bundle/section_reader.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t max_name = 64;
+constexpr std::size_t max_name_bytes = 64;
 constexpr std::size_t max_port_digits = 5;
 constexpr std::int64_t max_port = 65'535;
 
@@ -113,10 +113,10 @@
 
 auto parse_name(std::string_view text) -> result<std::string>
 {
-    const bool fits = !text.empty() && text.size() <= max_name;
-    if (!fits || !std::all_of(text.begin(), text.end(), is_name_character)) {
+    const bool valid_size = !text.empty() && text.size() <= max_name_bytes;
+    if (!valid_size || !std::all_of(text.begin(), text.end(), is_name_character)) {
         return error(error_kind::invalid_input,
-                     "'" + std::string(text.substr(0, max_name)) + "' is not a name",
+                     "'" + std::string(text.substr(0, max_name_bytes)) + "' is not a name",
                      "use 1 to 64 letters, digits, dots, dashes and underscores");
     }
     return std::string(text);
--- a/src/bundle/signed_bundle.cpp
+++ b/src/bundle/signed_bundle.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-auto unauthorized(std::string message) -> error
+auto unauthorized_error(std::string message) -> error
 {
     return {error_kind::unauthorized, std::move(message),
             "have both partners sign it with the keys that are in force (`dragonflymill bundle sign`)"};
@@ -20,7 +20,7 @@
 }
 
 // Takes over the change if it starts at the trusted key; one that starts at an older key is history.
-auto follow(const key_change& change, bundle_version version, std::vector<partner_entry>& trusted)
+auto apply_key_change(const key_change& change, bundle_version version, std::vector<partner_entry>& trusted)
     -> result<void>
 {
     auto* partner = find_partner(trusted, change.partner);
@@ -30,7 +30,8 @@
     const auto text = change.signed_text();
     if (change.since > version || !verify_ed25519(change.old_key, text, change.signature_by_old) ||
         !verify_ed25519(change.new_key, text, change.signature_by_new)) {
-        return unauthorized("the key change of " + change.partner + " is not signed by both of its keys");
+        return unauthorized_error("the key change of " + change.partner +
+                                  " is not signed by both of its keys");
     }
     partner->public_key = change.new_key;
     return success();
@@ -116,21 +117,21 @@
 {
     auto keys = trusted;
     for (const auto& change : value.manifest.key_changes) {
-        auto followed = follow(change, value.manifest.version, keys);
-        if (followed.has_error()) {
-            return followed.error();
+        auto applied = apply_key_change(change, value.manifest.version, keys);
+        if (applied.has_error()) {
+            return applied.error();
         }
     }
     std::sort(keys.begin(), keys.end(), [](const auto& a, const auto& b) { return a.name < b.name; });
     if (keys.size() != 2 || keys != value.manifest.partners) {
-        return unauthorized("its partners or their keys are not the ones trusted here");
+        return unauthorized_error("its partners or their keys are not the ones trusted here");
     }
     const auto text = encode_manifest(value.manifest);
     for (const auto& partner : keys) {
         // A bundle with one signature shows as a configuration that only one partner knows of; both are
         // needed, each checked against its own trusted key, so that neither can sign for the other.
         if (!signed_by(value, partner, text)) {
-            return unauthorized("the signature of " + partner.name + " is missing or wrong");
+            return unauthorized_error("the signature of " + partner.name + " is missing or wrong");
         }
     }
     return keys;
@@ -153,9 +154,9 @@
     if (value.has_error()) {
         return value.error();
     }
-    const auto& whole = value.value();
-    if (whole.version != manifest.version || whole.term_end != manifest.term_end ||
-        whole.partners != manifest.partners) {
+    const auto& assembled = value.value();
+    if (assembled.version != manifest.version || assembled.term_end != manifest.term_end ||
+        assembled.partners != manifest.partners) {
         return error(error_kind::corrupt, "the head differs from the manifest",
                      "make and sign the bundle again");
     }
--- a/src/control/admin_server.cpp
+++ b/src/control/admin_server.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr duration push_patience = 3s;
+constexpr duration push_timeout = 3s;
 
 } // namespace
 
@@ -70,11 +70,11 @@
 auto admin_server::take(const bundle_package& package) -> result<void>
 {
     // The operator waits for the control thread's word; nothing else is served on this thread meanwhile.
-    const auto answer = std::make_shared<std::promise<result<void>>>();
-    auto future = answer->get_future();
+    const auto promise = std::make_shared<std::promise<result<void>>>();
+    auto future = promise->get_future();
     control_.push({encode_signed_manifest(package.manifest), package.sections},
-                  [answer](const result<void>& said) { answer->set_value(said); });
-    if (future.wait_for(push_patience) != std::future_status::ready) {
+                  [promise](const result<void>& outcome) { promise->set_value(outcome); });
+    if (future.wait_for(push_timeout) != std::future_status::ready) {
         return error(error_kind::timed_out, "the bundle was not taken in time", "push it again");
     }
     return future.get();
--- a/src/control/bundle_package.cpp
+++ b/src/control/bundle_package.cpp
@@ -7,17 +7,17 @@
 
 namespace {
 
-constexpr std::string_view package_start = "dragonflymill-bundle ";
+constexpr std::string_view package_magic = "dragonflymill-bundle ";
 /// Line between manifest and sections; no line of a manifest reads like it.
 constexpr std::string_view content_line = "content\n";
 
-auto unreadable(std::string why) -> error
+auto malformed_package(std::string why) -> error
 {
     return {error_kind::corrupt, "not a signed bundle: " + std::move(why),
             "make it with `dragonflymill bundle sign` and send it unchanged"};
 }
 
-auto named(const std::string& path, const error& failed) -> error
+auto with_path(const std::string& path, const error& failed) -> error
 {
     return {failed.kind(), path + ": " + failed.message(), failed.remedy()};
 }
@@ -46,7 +46,7 @@
 {
     const std::size_t content = text.find("\n" + std::string(content_line));
     if (content == std::string_view::npos) {
-        return unreadable("the line 'content' is missing");
+        return malformed_package("the line 'content' is missing");
     }
     auto manifest = decode_signed_manifest(text.substr(0, content + 1));
     if (manifest.has_error()) {
@@ -56,13 +56,13 @@
     std::string_view rest = text.substr(content + 1 + content_line.size());
     for (const section_reference& section : package.manifest.manifest.sections) {
         if (rest.size() < section.bytes) {
-            return unreadable("section " + section.name + " is cut off");
+            return malformed_package("section " + section.name + " is cut off");
         }
         package.sections.emplace_back(rest.substr(0, section.bytes));
         rest.remove_prefix(section.bytes);
     }
     if (!rest.empty()) {
-        return unreadable("there is more behind the last section");
+        return malformed_package("there is more behind the last section");
     }
     auto value = assemble_bundle(package.manifest.manifest, package.sections);
     if (value.has_error()) {
@@ -74,7 +74,7 @@
 
 auto is_package(std::string_view text) -> bool
 {
-    return text.starts_with(package_start);
+    return text.starts_with(package_magic);
 }
 
 auto load_package(const std::string& path) -> result<bundle_package>
@@ -85,12 +85,12 @@
     }
     if (is_package(text.value())) {
         auto package = decode_package(text.value());
-        return package.has_error() ? result<bundle_package>(named(path, package.error()))
+        return package.has_error() ? result<bundle_package>(with_path(path, package.error()))
                                    : std::move(package);
     }
     const auto value = parse_bundle_source(text.value());
     if (value.has_error()) {
-        return named(path, value.error());
+        return with_path(path, value.error());
     }
     return package_of(value.value());
 }
--- a/src/control/control_core.cpp
+++ b/src/control/control_core.cpp
@@ -12,12 +12,12 @@
 namespace {
 
 constexpr std::size_t max_alarms = 16;
-constexpr duration boot_ask_interval = 500ms;
-constexpr std::size_t boot_peers = 8;
+constexpr duration boot_query_interval = 500ms;
+constexpr std::size_t boot_query_peers = 8;
 // Peers of later rounds are asked too, but not waited for.
 constexpr std::uint32_t awaited_boot_rounds = 2;
 
-void log_change(const member_update& update)
+void log_member_change(const member_update& update)
 {
     const auto id = field("member", update.info.id);
     switch (update.state) {
@@ -168,13 +168,13 @@
     }
     const auto slot = static_cast<std::uint64_t>(wall.time_since_epoch() / options_.watch_slot);
     const auto own = rendezvous_score(slot, membership_.self().info.id.text());
-    std::uint32_t better = 0;
+    std::uint32_t higher_scores = 0;
     for (const auto& [id, record] : membership_.table().records()) {
         if (record.update.state == member_state::alive && rendezvous_score(slot, id.text()) > own) {
-            ++better;
+            ++higher_scores;
         }
     }
-    return better < options_.watchers;
+    return higher_scores < options_.watchers;
 }
 
 auto control_core::nobody_to_ask() const -> bool
@@ -260,7 +260,7 @@
 void control_core::note_member(instant now, const member_update& update)
 {
     changed_ = true;
-    log_change(update);
+    log_member_change(update);
     drains_.process_heard(now, update.info.host, update.number.start, update.state == member_state::leaving);
 }
 
@@ -316,8 +316,8 @@
     if (keeper_.in_force() != nullptr || now < next_boot_ask_ || membership_.table().live_count() == 0) {
         return;
     }
-    next_boot_ask_ = now + boot_ask_interval;
-    for (const auto& output : membership_.ask_peers(boot_peers)) {
+    next_boot_ask_ = now + boot_query_interval;
+    for (const auto& output : membership_.ask_peers(boot_query_peers)) {
         const auto* sent = std::get_if<send_datagram>(&output);
         if (sent == nullptr) {
             continue;
--- a/src/control/control_loop.cpp
+++ b/src/control/control_loop.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-constexpr std::uint64_t udp_overhead = 28;
-constexpr duration back_off = 2s;
-constexpr duration back_off_spread = 4s;
-constexpr duration lone_read_interval = 5s;
+constexpr std::uint64_t udp_ip_header_bytes = 28;
+constexpr duration watch_backoff = 2s;
+constexpr duration watch_backoff_jitter = 4s;
+constexpr duration no_peers_read_interval = 5s;
 
 } // namespace
 
@@ -65,11 +65,10 @@
         done(success());
         return;
     }
-    const bool refused_now = core_.keeper().rejected_count() != before;
-    done(refused_now
-             ? core_.keeper().rejections().back().why
-             : error(error_kind::conflict, "the bundle is not in force",
-                     "raise its version, send every section, or wait until this process has started"));
+    const bool rejected = core_.keeper().rejected_count() != before;
+    done(rejected ? core_.keeper().rejections().back().why
+                  : error(error_kind::conflict, "the bundle is not in force",
+                          "raise its version, send every section, or wait until this process has started"));
 }
 
 void control_loop::drain(const drain_subject& subject, bool out)
@@ -146,7 +145,7 @@
 void control_loop::send(const send_bytes& sent)
 {
     ++datagrams_sent_;
-    bytes_sent_ += sent.bytes.size() + udp_overhead;
+    bytes_sent_ += sent.bytes.size() + udp_ip_header_bytes;
     socket_->send(sent.address, sent.bytes);
 }
 
@@ -199,7 +198,7 @@
 void control_loop::received(std::string_view bytes, const std::string& from)
 {
     ++datagrams_received_;
-    bytes_received_ += bytes.size() + udp_overhead;
+    bytes_received_ += bytes.size() + udp_ip_header_bytes;
     if (options_.drop_received > 0 && random_.chance(options_.drop_received)) {
         return;
     }
@@ -241,15 +240,15 @@
     if (!options_.configuration_service || watching_ || now < next_watch_) {
         return;
     }
-    const bool lone = core_.nobody_to_ask();
-    if (!lone && !core_.watches(now, runtime::wall_now())) {
+    const bool no_peers = core_.nobody_to_ask();
+    if (!no_peers && !core_.watches(now, runtime::wall_now())) {
         return;
     }
     watching_ = true;
     ++service_reads_;
     const auto done = [this](const config_value& read) { on_service(read); };
-    if (lone) {
-        next_watch_ = now + lone_read_interval;
+    if (no_peers) {
+        next_watch_ = now + no_peers_read_interval;
         platform_.read(*options_.configuration_service, manifest_key, done);
         return;
     }
@@ -265,13 +264,13 @@
         // A service that starts anew may count its revisions anew.
         revision_ = 0;
         // Spread, so that watchers of a service that comes back do not all call at once.
-        next_watch_ =
-            now + back_off + duration(random_.below(static_cast<std::uint64_t>(back_off_spread.count())));
+        next_watch_ = now + watch_backoff +
+                      duration(random_.below(static_cast<std::uint64_t>(watch_backoff_jitter.count())));
     }
     if (failing != std::exchange(service_failing_, failing)) {
-        const auto seen =
+        const auto failure_event =
             read.end == read_end::over_budget ? event::config_over_budget : event::config_unreachable;
-        log_event(failing ? seen : event::config_reachable);
+        log_event(failing ? failure_event : event::config_reachable);
     }
     if (read.end == read_end::value) {
         revision_ = read.revision;
--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -81,17 +81,18 @@
 
     void leave()
     {
-        on_thread([this] { loop_->leave(); });
+        post_to_thread([this] { loop_->leave(); });
     }
 
     void push(pushed_bundle bundle, peer_answer done)
     {
-        on_thread([this, bundle = std::move(bundle), done = std::move(done)] { loop_->push(bundle, done); });
+        post_to_thread(
+            [this, bundle = std::move(bundle), done = std::move(done)] { loop_->push(bundle, done); });
     }
 
     void drain(drain_subject subject, bool out)
     {
-        on_thread([this, subject = std::move(subject), out] { loop_->drain(subject, out); });
+        post_to_thread([this, subject = std::move(subject), out] { loop_->drain(subject, out); });
     }
 
     void ask(ask_shares asked, share_answer done)
@@ -100,7 +101,7 @@
             done(handlers_.on_shares_asked(asked.requests));
             return;
         }
-        on_thread([this, asked = std::move(asked), done = std::move(done)] { loop_->ask(asked, done); });
+        post_to_thread([this, asked = std::move(asked), done = std::move(done)] { loop_->ask(asked, done); });
     }
 
     [[nodiscard]] auto self() const -> const member_info& { return options_.core.membership.self; }
@@ -109,19 +110,20 @@
 private:
     auto service_handlers() -> peer_service_handlers
     {
-        peer_service_handlers made;
-        made.on_push = [this](pushed_bundle bundle, peer_answer done) {
+        peer_service_handlers handlers;
+        handlers.on_push = [this](pushed_bundle bundle, peer_answer done) {
             push(std::move(bundle), std::move(done));
         };
-        made.on_drain = [this](sealed_drain word, peer_answer done) {
-            on_thread([this, word = std::move(word), done = std::move(done)] { loop_->drain(word, done); });
+        handlers.on_drain = [this](sealed_drain word, peer_answer done) {
+            post_to_thread(
+                [this, word = std::move(word), done = std::move(done)] { loop_->drain(word, done); });
         };
-        made.on_shares_asked = handlers_.on_shares_asked;
-        return made;
+        handlers.on_shares_asked = handlers_.on_shares_asked;
+        return handlers;
     }
 
     template <typename Task>
-    void on_thread(Task task)
+    void post_to_thread(Task task)
     {
         boost::asio::post(thread_.context(), std::move(task));
     }
--- a/src/control/daemon_control.cpp
+++ b/src/control/daemon_control.cpp
@@ -20,7 +20,7 @@
     std::optional<pushed_bundle> package;
 };
 
-auto read_bundle(const std::string& path) -> result<bundle_file>
+auto read_bundle_file(const std::string& path) -> result<bundle_file>
 {
     if (path.empty()) {
         return bundle_file{};
@@ -61,9 +61,9 @@
     self.region = settings.process.region;
     self.domain = settings.process.failure_domain;
     self.host = settings.process.host;
-    const auto since_1970 = runtime::wall_now().time_since_epoch();
+    const auto since_epoch = runtime::wall_now().time_since_epoch();
     core.membership.start = incarnation(
-        static_cast<std::uint64_t>(std::chrono::floor<std::chrono::milliseconds>(since_1970).count()));
+        static_cast<std::uint64_t>(std::chrono::floor<std::chrono::milliseconds>(since_epoch).count()));
     for (const auto& seed : settings.control.seeds) {
         core.membership.seeds.push_back(to_text(seed));
     }
@@ -91,18 +91,18 @@
 auto daemon_control::open(const daemon_control_settings& settings, control_plane_handlers handlers)
     -> result<std::unique_ptr<daemon_control>>
 {
-    auto file = read_bundle(settings.bundle.file);
+    auto file = read_bundle_file(settings.bundle.file);
     if (!file) {
         return file.error();
     }
-    std::unique_ptr<daemon_control> made(new daemon_control(handlers, file.value().content));
-    made->signed_file_ = std::move(file.value().package);
+    std::unique_ptr<daemon_control> daemon(new daemon_control(handlers, file.value().content));
+    daemon->signed_file_ = std::move(file.value().package);
     if (settings.control.udp_listen.empty()) {
-        if (!made->from_file_) {
+        if (!daemon->from_file_) {
             return error(error_kind::invalid_input, "there is neither a bundle file nor a gossip address",
                          "set [bundle] file, or [control] udp_listen and seeds");
         }
-        return made;
+        return daemon;
     }
     if (settings.bundle.partners.size() != 2) {
         return error(error_kind::invalid_input,
@@ -114,7 +114,7 @@
         return key.error();
     }
     control_plane_options options;
-    options.core = core_options(settings, made->from_file_.get());
+    options.core = core_options(settings, daemon->from_file_.get());
     options.core.seal_keys = {key.value()};
     options.udp_listen = to_text(settings.control.udp_listen);
     if (!settings.control.peer_listen.empty()) {
@@ -127,8 +127,8 @@
     if (!plane) {
         return plane.error();
     }
-    made->plane_ = std::move(plane.value());
-    return made;
+    daemon->plane_ = std::move(plane.value());
+    return daemon;
 }
 
 void daemon_control::start()
@@ -141,11 +141,11 @@
         }
         return;
     }
-    const auto alone = std::make_shared<control_snapshot>();
-    alone->number = 1;
-    alone->in_force = from_file_;
-    alone->ready = true;
-    handlers_.on_snapshot(alone);
+    const auto snapshot = std::make_shared<control_snapshot>();
+    snapshot->number = 1;
+    snapshot->in_force = from_file_;
+    snapshot->ready = true;
+    handlers_.on_snapshot(snapshot);
 }
 
 void daemon_control::leave()
--- a/src/control/datagram_codec.cpp
+++ b/src/control/datagram_codec.cpp
@@ -11,7 +11,7 @@
 constexpr std::uint32_t last_state = static_cast<std::uint32_t>(member_state::leaving);
 constexpr std::uint32_t last_role = static_cast<std::uint32_t>(process_role::sidecar);
 
-auto refused(const char* what) -> error
+auto malformed_datagram(const char* what) -> error
 {
     return {error_kind::corrupt, std::string("a datagram with ") + what,
             "run the same version at all processes; if it goes on, look for a sender that is not ours"};
@@ -70,7 +70,7 @@
     update.info.gossip_address = in.gossip_address();
     update.info.peer_address = in.peer_address();
     if (!fits_datagram(update.info) || in.state() > last_state || in.role() > last_role) {
-        return refused("a member out of bounds");
+        return malformed_datagram("a member out of bounds");
     }
     update.state = static_cast<member_state>(in.state());
     update.number = {incarnation(in.start()), in.refutation()};
@@ -81,7 +81,7 @@
 {
     const bool one = in.failure_domain().empty() != in.host().empty();
     if (!one || in.failure_domain().size() > max_member_name || in.host().size() > max_member_name) {
-        return refused("an operator's word out of bounds");
+        return malformed_datagram("an operator's word out of bounds");
     }
     drain_subject subject = failure_domain_id(in.failure_domain());
     if (!in.host().empty()) {
@@ -109,10 +109,10 @@
     case wire::gossip_datagram::BODY_NOT_SET:
         break;
     }
-    return refused("no body");
+    return malformed_datagram("no body");
 }
 
-auto read_word(const wire::gossip_datagram& in, datagram& message) -> bool
+auto read_bundle_notice(const wire::gossip_datagram& in, datagram& message) -> bool
 {
     const auto& bytes = in.bundle_digest();
     if (bytes.empty()) {
@@ -173,7 +173,7 @@
     wire::gossip_datagram in;
     if (bytes.size() > max_datagram_bytes ||
         !in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
-        return refused("unreadable content");
+        return malformed_datagram("unreadable content");
     }
     datagram message;
     auto sender = read_member(in.sender());
@@ -187,9 +187,10 @@
     message.body = std::move(body).value();
     message.members_digest = in.members_digest();
     message.members_count = in.members_count();
-    if (!read_word(in, message) || !read_list(in.news(), max_datagram_news, message.news, read_member) ||
+    if (!read_bundle_notice(in, message) ||
+        !read_list(in.news(), max_datagram_news, message.news, read_member) ||
         !read_list(in.drains(), max_datagram_drains, message.drains, read_drain)) {
-        return refused("a list out of bounds");
+        return malformed_datagram("a list out of bounds");
     }
     return message;
 }
--- a/src/control/drain_request.cpp
+++ b/src/control/drain_request.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 constexpr std::uint64_t microseconds_per_millisecond = 1'000;
-constexpr std::uint64_t longest_difference_ms = 60'000;
+constexpr std::uint64_t max_clock_difference_ms = 60'000;
 
 auto sealed_text(const sealed_drain& word) -> std::string
 {
@@ -40,7 +40,7 @@
     }
     const auto here = milliseconds(now);
     const auto difference = here > word.time_ms ? here - word.time_ms : word.time_ms - here;
-    if (difference > longest_difference_ms || word.time_ms <= last_time_ms) {
+    if (difference > max_clock_difference_ms || word.time_ms <= last_time_ms) {
         return error(error_kind::unauthorized, "the request is old, or clocks differ by over a minute",
                      "send it again, or set the clocks right");
     }
--- a/src/control/peer_client.cpp
+++ b/src/control/peer_client.cpp
@@ -11,24 +11,24 @@
 
 namespace {
 
-constexpr int max_answer_bytes = 2 * 1024 * 1024;
+constexpr int max_response_bytes = 2 * 1024 * 1024;
 
-auto stub_for(const std::string& address) -> std::unique_ptr<wire::peer_exchange::Stub>
+auto make_stub(const std::string& address) -> std::unique_ptr<wire::peer_exchange::Stub>
 {
     rpc::keep_transport_alive();
     grpc::ChannelArguments arguments;
     arguments.SetInt(GRPC_ARG_ENABLE_RETRIES, 0);
-    arguments.SetMaxReceiveMessageSize(max_answer_bytes);
+    arguments.SetMaxReceiveMessageSize(max_response_bytes);
     return wire::peer_exchange::NewStub(
         grpc::CreateCustomChannel(address, grpc::InsecureChannelCredentials(), arguments));
 }
 
-void limit(grpc::ClientContext& context, duration deadline)
+void set_deadline(grpc::ClientContext& context, duration deadline)
 {
     context.set_deadline(std::chrono::system_clock::now() + deadline);
 }
 
-auto unreachable(const grpc::Status& status) -> error
+auto unavailable_error(const grpc::Status& status) -> error
 {
     return {error_kind::unavailable, "the process did not answer: " + status.error_message(),
             "check its address, or ask another process"};
@@ -44,13 +44,13 @@
     Reply reply;
 };
 
-class section_reader_call final : public grpc::ClientReadReactor<wire::section_reply>
+class section_stream_call final : public grpc::ClientReadReactor<wire::section_reply>
 {
 public:
-    section_reader_call(const std::string& address, const std::vector<sha256_digest>& digests,
+    section_stream_call(const std::string& address, const std::vector<sha256_digest>& digests,
                         std::function<void(std::string)> each, std::function<void(bool)> done,
                         duration deadline, rpc::call_tracker& calls)
-        : stub_(stub_for(address))
+        : stub_(make_stub(address))
         , calls_(calls)
         , each_(std::move(each))
         , done_(std::move(done))
@@ -58,7 +58,7 @@
         for (const auto& digest : digests) {
             request_.add_digests(std::string(digest.bytes().begin(), digest.bytes().end()));
         }
-        limit(context_, deadline);
+        set_deadline(context_, deadline);
         calls_.begin(context_);
         stub_->async()->fetch_sections(&context_, &request_, this);
         StartRead(&reply_);
@@ -89,7 +89,7 @@
     std::function<void(bool)> done_;
 };
 
-auto answer_of(bool accepted, const std::string& problem, const std::string& remedy) -> result<void>
+auto to_result(bool accepted, const std::string& problem, const std::string& remedy) -> result<void>
 {
     if (accepted) {
         return success();
@@ -98,7 +98,7 @@
 }
 
 /// The grants of a reply; none if it does not fit the request.
-auto grants_of(const wire::shares_ask& asked, const wire::shares_reply& reply) -> std::vector<share_grant>
+auto to_grants(const wire::shares_ask& asked, const wire::shares_reply& reply) -> std::vector<share_grant>
 {
     std::vector<share_grant> grants;
     if (reply.grants_size() != asked.accounts_size()) {
@@ -118,8 +118,8 @@
                                  std::function<void(std::optional<std::string>)> done) const
 {
     auto call = std::make_shared<unary_call<wire::manifest_request, wire::manifest_reply>>();
-    call->stub = stub_for(address);
-    limit(call->context, deadline_);
+    call->stub = make_stub(address);
+    set_deadline(call->context, deadline_);
     calls_.begin(call->context);
     auto* raw = call.get();
     raw->stub->async()->fetch_manifest(
@@ -135,14 +135,14 @@
                                  std::function<void(std::string)> each, std::function<void(bool)> done) const
 {
     // NOLINTNEXTLINE(cppcoreguidelines-owning-memory): it deletes itself when the call is over
-    new section_reader_call(address, digests, std::move(each), std::move(done), deadline_, calls_);
+    new section_stream_call(address, digests, std::move(each), std::move(done), deadline_, calls_);
 }
 
 void peer_client::ask_shares(const std::string& address, const std::vector<share_request>& requests,
                              share_answer done) const
 {
     auto call = std::make_shared<unary_call<wire::shares_ask, wire::shares_reply>>();
-    call->stub = stub_for(address);
+    call->stub = make_stub(address);
     for (const auto& request : requests) {
         call->request.set_gateway(request.gateway.text()); // the same in all
         auto& asked = *call->request.add_accounts();
@@ -150,22 +150,22 @@
         asked.set_demand(request.demand);
         asked.set_held(request.held);
     }
-    limit(call->context, deadline_);
+    set_deadline(call->context, deadline_);
     calls_.begin(call->context);
     auto* raw = call.get();
     raw->stub->async()->ask_shares(
         &raw->context, &raw->request, &raw->reply,
         [this, call = std::move(call), done = std::move(done)](const grpc::Status& status) {
-            done(status.ok() ? grants_of(call->request, call->reply) : std::vector<share_grant>());
+            done(status.ok() ? to_grants(call->request, call->reply) : std::vector<share_grant>());
             calls_.end(call->context);
         });
 }
 
 auto peer_client::push(const std::string& address, const pushed_bundle& bundle) const -> result<void>
 {
-    const auto stub = stub_for(address);
+    const auto stub = make_stub(address);
     grpc::ClientContext context;
-    limit(context, deadline_);
+    set_deadline(context, deadline_);
     wire::push_reply reply;
     const auto writer = stub->push_bundle(&context, &reply);
     wire::push_part part;
@@ -178,16 +178,16 @@
     writer->WritesDone();
     const auto status = writer->Finish();
     if (!status.ok()) {
-        return unreachable(status);
+        return unavailable_error(status);
     }
-    return answer_of(reply.accepted(), reply.problem(), reply.remedy());
+    return to_result(reply.accepted(), reply.problem(), reply.remedy());
 }
 
 auto peer_client::drain(const std::string& address, const sealed_drain& word) const -> result<void>
 {
-    const auto stub = stub_for(address);
+    const auto stub = make_stub(address);
     grpc::ClientContext context;
-    limit(context, deadline_);
+    set_deadline(context, deadline_);
     wire::drain_request request;
     if (const auto* domain = std::get_if<failure_domain_id>(&word.subject)) {
         request.set_failure_domain(domain->text());
@@ -201,9 +201,9 @@
     wire::drain_reply reply;
     const auto status = stub->drain(&context, request, &reply);
     if (!status.ok()) {
-        return unreachable(status);
+        return unavailable_error(status);
     }
-    return answer_of(reply.accepted(), reply.problem(), reply.remedy());
+    return to_result(reply.accepted(), reply.problem(), reply.remedy());
 }
 
 } // namespace dragonflymill::control
--- a/src/control/peer_service.cpp
+++ b/src/control/peer_service.cpp
@@ -13,16 +13,16 @@
 constexpr std::size_t max_push_parts = 100;
 
 template <typename Reply>
-void write(const result<void>& how, Reply& reply)
+void write_outcome(const result<void>& outcome, Reply& reply)
 {
-    reply.set_accepted(how.has_value());
-    if (how.has_error()) {
-        reply.set_problem(how.error().message());
-        reply.set_remedy(how.error().remedy());
+    reply.set_accepted(outcome.has_value());
+    if (outcome.has_error()) {
+        reply.set_problem(outcome.error().message());
+        reply.set_remedy(outcome.error().remedy());
     }
 }
 
-auto digest_from(const std::string& bytes) -> sha256_digest
+auto to_digest(const std::string& bytes) -> sha256_digest
 {
     sha256_digest::bytes_type raw{};
     std::copy_n(bytes.begin(), std::min(bytes.size(), raw.size()), raw.begin());
@@ -80,7 +80,7 @@
     void OnReadDone(bool ok) override
     {
         if (!ok) {
-            hand_on();
+            finish_push();
             return;
         }
         bytes_ += part_.ByteSizeLong();
@@ -99,10 +99,10 @@
     void OnDone() override { delete this; } // NOLINT(cppcoreguidelines-owning-memory): gRPC's way
 
 private:
-    void hand_on()
+    void finish_push()
     {
-        on_push_(std::move(pushed_), [this](const result<void>& how) {
-            write(how, *reply_);
+        on_push_(std::move(pushed_), [this](const result<void>& outcome) {
+            write_outcome(outcome, *reply_);
             Finish(grpc::Status::OK);
         });
     }
@@ -152,9 +152,9 @@
 {
     std::vector<std::shared_ptr<const std::string>> texts;
     const auto bundle = served();
-    const auto wanted = std::min(static_cast<std::size_t>(request->digests_size()), max_sections);
-    for (std::size_t at = 0; bundle != nullptr && at < wanted; ++at) {
-        const auto found = bundle->sections.find(digest_from(request->digests(static_cast<int>(at))));
+    const auto requested = std::min(static_cast<std::size_t>(request->digests_size()), max_sections);
+    for (std::size_t at = 0; bundle != nullptr && at < requested; ++at) {
+        const auto found = bundle->sections.find(to_digest(request->digests(static_cast<int>(at))));
         if (found != bundle->sections.end()) {
             texts.push_back(found->second);
         }
@@ -180,8 +180,8 @@
     word.back = request->back();
     word.time_ms = request->time_ms();
     word.seal = request->seal();
-    handlers_.on_drain(std::move(word), [reactor, reply](const result<void>& how) {
-        write(how, *reply);
+    handlers_.on_drain(std::move(word), [reactor, reply](const result<void>& outcome) {
+        write_outcome(outcome, *reply);
         reactor->Finish(grpc::Status::OK);
     });
     return reactor;
@@ -204,10 +204,10 @@
         if (grant.is_home) {
             reply->set_home(grant.home.text());
         }
-        auto& made = *reply->add_grants();
-        made.set_is_home(grant.is_home);
-        made.set_part(grant.part);
-        made.set_lease_us(grant.lease.count());
+        auto& reply_grant = *reply->add_grants();
+        reply_grant.set_is_home(grant.is_home);
+        reply_grant.set_part(grant.part);
+        reply_grant.set_lease_us(grant.lease.count());
     }
     reactor->Finish(grpc::Status::OK);
     return reactor;
--- a/src/control/platform_reader.cpp
+++ b/src/control/platform_reader.cpp
@@ -19,11 +19,11 @@
 constexpr unsigned status_no_content = 204;
 constexpr unsigned status_not_found = 404;
 constexpr unsigned status_too_many = 429;
-constexpr std::size_t max_answer_bytes = 2 * 1024 * 1024;
+constexpr std::size_t max_response_bytes = 2 * 1024 * 1024;
 constexpr std::size_t max_hosts = 4'096;
-constexpr duration answer_time = 2s;
+constexpr duration response_timeout = 2s;
 
-auto end_of(unsigned status) -> read_end
+auto to_read_end(unsigned status) -> read_end
 {
     switch (status) {
     case status_ok:
@@ -62,7 +62,7 @@
 auto parse_config_value(unsigned status, const std::string& body) -> config_value
 {
     config_value read;
-    read.end = end_of(status);
+    read.end = to_read_end(status);
     if (read.end != read_end::value) {
         return read;
     }
@@ -81,7 +81,7 @@
 auto parse_host_list(unsigned status, const std::string& body) -> host_list_value
 {
     host_list_value read;
-    read.end = end_of(status);
+    read.end = to_read_end(status);
     if (read.end != read_end::value) {
         return read;
     }
@@ -105,7 +105,7 @@
 void platform_reader::read(const boost::asio::ip::tcp::endpoint& service, const std::string& key,
                            std::function<void(config_value)> done)
 {
-    get(service, "/v1/keys/" + key, answer_time,
+    get(service, "/v1/keys/" + key, response_timeout,
         [done = std::move(done)](unsigned status, const std::string& body) {
             done(parse_config_value(status, body));
         });
@@ -117,7 +117,7 @@
     const auto wait_ms = std::chrono::duration_cast<std::chrono::milliseconds>(wait).count();
     get(service,
         "/v1/watch?key=" + key + "&after=" + std::to_string(after) + "&wait_ms=" + std::to_string(wait_ms),
-        wait + answer_time, [done = std::move(done)](unsigned status, const std::string& body) {
+        wait + response_timeout, [done = std::move(done)](unsigned status, const std::string& body) {
             done(parse_config_value(status, body));
         });
 }
@@ -125,33 +125,34 @@
 void platform_reader::read_hosts(const boost::asio::ip::tcp::endpoint& list,
                                  std::function<void(host_list_value)> done)
 {
-    get(list, "/v1/hosts", answer_time, [done = std::move(done)](unsigned status, const std::string& body) {
-        done(parse_host_list(status, body));
-    });
+    get(list, "/v1/hosts", response_timeout,
+        [done = std::move(done)](unsigned status, const std::string& body) {
+            done(parse_host_list(status, body));
+        });
 }
 
 void platform_reader::get(const boost::asio::ip::tcp::endpoint& server, std::string target, duration wait,
                           std::function<void(unsigned status, std::string body)> done)
 {
-    struct answer
+    struct response
     {
         unsigned status = 0;
         std::string body;
     };
     http::call_limits limits;
     limits.first_byte_timeout = wait;
-    limits.max_body_bytes = max_answer_bytes;
-    const auto held = std::make_shared<answer>();
+    limits.max_body_bytes = max_response_bytes;
+    const auto received = std::make_shared<response>();
     http::call_handlers handlers;
-    handlers.on_header = [held](unsigned status, const std::string& /*content_type*/) {
-        held->status = status;
+    handlers.on_header = [received](unsigned status, const std::string& /*content_type*/) {
+        received->status = status;
     };
-    handlers.on_bytes = [held](std::string_view bytes) { held->body += bytes; };
-    handlers.on_end = [held, done = std::move(done)](http::call_end end) {
-        done(end == http::call_end::whole ? held->status : 0, std::move(held->body));
+    handlers.on_bytes = [received](std::string_view bytes) { received->body += bytes; };
+    handlers.on_end = [received, done = std::move(done)](http::call_end end) {
+        done(end == http::call_end::whole ? received->status : 0, std::move(received->body));
     };
     const auto call = std::make_shared<http::http_call>(context_, server, limits);
-    call->start({"GET", std::move(target), {}, {}}, runtime::now() + answer_time, std::move(handlers));
+    call->start({"GET", std::move(target), {}, {}}, runtime::now() + response_timeout, std::move(handlers));
 }
 
 } // namespace dragonflymill::control
--- a/tests/bundle/bundle_codec_test.cpp
+++ b/tests/bundle/bundle_codec_test.cpp
@@ -6,7 +6,7 @@
 
 using namespace dragonflymill;
 
-Test(bundle_codec, canonical_text_reads_back_and_nothing_else_does)
+Test(bundle_codec, decodes_only_canonical_text)
 {
     const auto value = test_bundle(7);
     const auto text = encode_bundle(value);
@@ -20,7 +20,7 @@
     }
 }
 
-Test(bundle_codec, order_in_the_source_does_not_matter)
+Test(bundle_codec, source_order_does_not_change_the_digest)
 {
     auto value = test_bundle(7);
     const auto digest = digest_of(value);
@@ -29,12 +29,12 @@
     cr_assert(digest_of(value) == digest);
 }
 
-Test(bundle_codec, a_change_of_one_account_changes_the_head_and_one_section)
+Test(bundle_codec, changing_one_account_changes_the_head_and_one_section)
 {
     auto before = test_bundle(7);
-    for (int number = 0; number < 1'000; ++number) {
+    for (int peer_index = 0; peer_index < 1'000; ++peer_index) {
         auto account = before.accounts.front();
-        account.id = client_account_id("account-" + std::to_string(number));
+        account.id = client_account_id("account-" + std::to_string(peer_index));
         account.key_sha256 = sha256(account.id.text()).hex();
         before.accounts.push_back(account);
     }
@@ -51,14 +51,14 @@
     cr_assert(join_bundle(new_sections).value() == sorted(after));
 }
 
-Test(bundle_codec, an_entry_in_the_wrong_section_is_refused)
+Test(bundle_codec, rejects_an_entry_in_the_wrong_section)
 {
     auto sections = split_bundle(test_bundle(7));
     std::swap(sections.front().text, sections.back().text);
     cr_assert(join_bundle(sections).has_error());
 }
 
-Test(bundle_diff, names_each_changed_value)
+Test(bundle_diff, lists_each_changed_value)
 {
     auto after = test_bundle(8);
     after.accounts.front().requests_per_second = 80;
--- a/tests/bundle/bundle_schedule_test.cpp
+++ b/tests/bundle/bundle_schedule_test.cpp
@@ -1,4 +1,4 @@
-#include "keeper_world.h"
+#include "bundle_simulation.h"
 #include "support/schedule_seeds.h"
 
 #include <algorithm>
@@ -17,7 +17,7 @@
 public:
     explicit bundle_schedule(std::uint64_t seed)
         : world_(seed, {.drop = 0.15, .duplicate = 0.1, .late = 0.05})
-        , draw_(seed * 31)
+        , random_(seed * 31)
     {
     }
 
@@ -25,28 +25,29 @@
     {
         world_.publish(test_bundle(1));
         world_.run(20s);
-        for (int step = 0; step < steps && !broken_; ++step) {
-            fault();
-            world_.run(duration(500ms) * static_cast<std::int64_t>(1 + draw_.below(6)), [this] { check(); });
+        for (int step = 0; step < steps && !violation_; ++step) {
+            inject_fault();
+            world_.run(duration(500ms) * static_cast<std::int64_t>(1 + random_.below(6)),
+                       [this] { check(); });
         }
         heal();
         world_.run(30s, [this] { check(); });
-        if (!broken_ && !world_.all_have(highest_)) {
-            broken_ = "not everywhere after the faults ended";
+        if (!violation_ && !world_.all_have(highest_)) {
+            violation_ = "not everywhere after the faults ended";
         }
-        return broken_;
+        return violation_;
     }
 
 private:
-    void fault()
+    void inject_fault()
     {
-        const auto at = draw_.below(keeper_world::size);
-        switch (draw_.below(6)) {
+        const auto at = random_.below(bundle_simulation::size);
+        switch (random_.below(6)) {
         case 0:
-            world_.publish(test_bundle(++published_, static_cast<std::uint32_t>(1 + draw_.below(2))));
+            world_.publish(test_bundle(++published_, static_cast<std::uint32_t>(1 + random_.below(2))));
             break;
         case 1:
-            world_.publish(test_bundle(1 + draw_.below(published_)));
+            world_.publish(test_bundle(1 + random_.below(published_)));
             break;
         case 2:
             world_.service_up = !world_.service_up;
@@ -58,7 +59,7 @@
             restart(at);
             break;
         default:
-            world_.side[at] = world_.side[at] == 0 ? 1 : 0;
+            world_.partition[at] = world_.partition[at] == 0 ? 1 : 0;
             break;
         }
     }
@@ -67,9 +68,9 @@
     void restart(std::size_t at)
     {
         bool other_has = false;
-        for (std::size_t other = 0; other < keeper_world::size; ++other) {
+        for (std::size_t other = 0; other < bundle_simulation::size; ++other) {
             const bool up = other != at && !world_.paused[other] && world_.connected(at, other);
-            other_has = other_has || (up && world_.version(other) >= last_[at]);
+            other_has = other_has || (up && world_.version(other) >= last_version_[at]);
         }
         if (other_has && !world_.paused[at]) {
             world_.start(at);
@@ -80,7 +81,7 @@
 
     void heal()
     {
-        world_.side = {};
+        world_.partition = {};
         world_.paused = {};
         world_.service_up = true;
         world_.publish(test_bundle(++published_));
@@ -89,27 +90,27 @@
 
     void check()
     {
-        for (std::size_t at = 0; at < keeper_world::size; ++at) {
+        for (std::size_t at = 0; at < bundle_simulation::size; ++at) {
             const auto version = world_.version(at);
-            if (version != 0 && version < last_[at]) {
-                broken_ = "process " + std::to_string(at) + " went back from " + std::to_string(last_[at]) +
-                          " to " + std::to_string(version);
+            if (version != 0 && version < last_version_[at]) {
+                violation_ = "process " + std::to_string(at) + " went back from " +
+                             std::to_string(last_version_[at]) + " to " + std::to_string(version);
             }
-            last_[at] = std::max(last_[at], version);
+            last_version_[at] = std::max(last_version_[at], version);
         }
     }
 
-    keeper_world world_;
-    random_source draw_;
+    bundle_simulation world_;
+    random_source random_;
     std::uint64_t published_ = 1;
     std::uint64_t highest_ = 1;
-    std::array<std::uint64_t, keeper_world::size> last_{};
-    std::optional<std::string> broken_;
+    std::array<std::uint64_t, bundle_simulation::size> last_version_{};
+    std::optional<std::string> violation_;
 };
 
 } // namespace
 
-Test(bundle_schedule, the_bundle_in_force_never_gets_older)
+Test(bundle_schedule, version_in_force_never_decreases)
 {
     run_schedules(seeds, "test_bundle", "bundle_schedule/*",
                   [](std::uint64_t seed) { return bundle_schedule(seed).run(); });
--- a/tests/bundle/keeper_world.h
+++ b/tests/bundle/bundle_simulation.h
@@ -13,12 +13,12 @@
 namespace dragonflymill::test {
 
 /// A message between two keepers of a schedule test.
-struct keeper_message
+struct bundle_message
 {
     enum class kind_type
     {
-        ask,
-        word,
+        query,
+        notice,
         get_manifest,
         manifest,
         get_section,
@@ -26,20 +26,20 @@
     };
     std::size_t from = 0;
     std::size_t to = 0;
-    kind_type kind = kind_type::ask;
-    std::optional<bundle_notice> word;
+    kind_type kind = kind_type::query;
+    std::optional<bundle_notice> notice;
     sha256_digest digest;
     std::string text;
 };
 
 /// Up to five keepers, a configuration service that may be down or stale, and a bag of messages.
-class keeper_world
+class bundle_simulation
 {
 public:
     static constexpr std::size_t size = 4;
     static constexpr duration tick_length = 100ms;
 
-    explicit keeper_world(std::uint64_t seed, message_bag_rules rules = {})
+    explicit bundle_simulation(std::uint64_t seed, message_bag_rules rules = {})
         : random(seed)
         , bag(seed + 1, rules)
     {
@@ -59,10 +59,10 @@
     {
         bundle_manager_settings settings;
         settings.trusted = test_partners();
-        keepers[at].emplace(settings, now);
+        managers[at].emplace(settings, now);
         for (std::size_t other = 0; other < size; ++other) {
             if (other != at) {
-                keepers[at]->peer_asked(name(other));
+                managers[at]->peer_asked(name(other));
             }
         }
     }
@@ -96,13 +96,16 @@
     }
 
     /// Whether two processes can talk to each other.
-    [[nodiscard]] auto connected(std::size_t a, std::size_t b) const -> bool { return side[a] == side[b]; }
+    [[nodiscard]] auto connected(std::size_t a, std::size_t b) const -> bool
+    {
+        return partition[a] == partition[b];
+    }
 
     /// Version in force at a process; 0 if none is.
     [[nodiscard]] auto version(std::size_t at) const -> std::uint64_t
     {
-        const auto word = keepers[at]->word();
-        return word ? word->version.value() : 0;
+        const auto notice = managers[at]->word();
+        return notice ? notice->version.value() : 0;
     }
     [[nodiscard]] auto all_have(std::uint64_t wanted) const -> bool
     {
@@ -115,11 +118,11 @@
     }
 
     instant now{};
-    wall_instant wall = parse_wall_instant_or_die();
+    wall_instant wall = start_wall_time();
     random_source random;
-    message_bag<keeper_message> bag;
-    std::array<std::optional<bundle_manager>, size> keepers;
-    std::array<int, size> side{};
+    message_bag<bundle_message> bag;
+    std::array<std::optional<bundle_manager>, size> managers;
+    std::array<int, size> partition{};
     std::array<bool, size> paused{};
     bool service_up = true;
     std::string service_manifest;
@@ -128,27 +131,27 @@
     std::uint64_t sections_sent = 0;
 
 private:
-    static auto parse_wall_instant_or_die() -> wall_instant { return wall_instant(duration(1h)); }
+    static auto start_wall_time() -> wall_instant { return wall_instant(duration(1h)); }
 
     void step(std::size_t at)
     {
         if (paused[at]) {
             return;
         }
-        act(at, keepers[at]->tick(now, wall));
+        apply(at, managers[at]->tick(now, wall));
         if (service_up && !service_manifest.empty() && random.chance(0.2)) {
-            act(at, keepers[at]->manifest_arrived(now, {}, service_manifest));
+            apply(at, managers[at]->manifest_arrived(now, {}, service_manifest));
         }
         for (std::size_t other = 0; other < size; ++other) {
             if (other != at && random.chance(0.5)) {
-                bag.send(now, {at, other, keeper_message::kind_type::ask, {}, {}, ""});
+                bag.send(now, {at, other, bundle_message::kind_type::query, {}, {}, ""});
             }
         }
     }
 
     void deliver()
     {
-        const auto ready = [this](const keeper_message& message) { return !paused[message.to]; };
+        const auto ready = [this](const bundle_message& message) { return !paused[message.to]; };
         for (auto message = bag.take(now, ready); message; message = bag.take(now, ready)) {
             if (connected(message->from, message->to)) {
                 receive(*message);
@@ -156,41 +159,42 @@
         }
     }
 
-    void receive(const keeper_message& message)
+    void receive(const bundle_message& message)
     {
-        using kind = keeper_message::kind_type;
-        auto& keeper = *keepers[message.to];
+        using kind = bundle_message::kind_type;
+        auto& manager = *managers[message.to];
         const auto reply = [&](kind what, std::string text) {
-            bag.send(now, {message.to, message.from, what, keeper.word(), {}, std::move(text)});
+            bag.send(now, {message.to, message.from, what, manager.word(), {}, std::move(text)});
         };
         switch (message.kind) {
-        case kind::ask:
-            return reply(kind::word, "");
-        case kind::word:
-            return act(message.to,
-                       keeper.peer_said(now, name(message.from), domain(message.from), message.word));
+        case kind::query:
+            return reply(kind::notice, "");
+        case kind::notice:
+            return apply(message.to,
+                         manager.peer_said(now, name(message.from), domain(message.from), message.notice));
         case kind::get_manifest:
-            return reply(kind::manifest, keeper.manifest_text());
+            return reply(kind::manifest, manager.manifest_text());
         case kind::manifest:
-            return act(message.to, keeper.manifest_arrived(
-                                       now, {bundle_origin_kind::peer, name(message.from)}, message.text));
+            return apply(message.to, manager.manifest_arrived(
+                                         now, {bundle_origin_kind::peer, name(message.from)}, message.text));
         case kind::get_section:
-            if (const auto text = keeper.section(message.digest)) {
+            if (const auto text = manager.section(message.digest)) {
                 ++sections_sent;
                 reply(kind::section, *text);
             }
             return;
         case kind::section:
-            return act(message.to, keeper.section_arrived(now, message.text));
+            return apply(message.to, manager.section_arrived(now, message.text));
         }
     }
 
-    void act(std::size_t at, const bundle_manager_outputs& outputs)
+    void apply(std::size_t at, const bundle_manager_outputs& outputs)
     {
         for (const auto& output : outputs) {
             if (const auto* manifest = std::get_if<fetch_manifest>(&output)) {
-                bag.send(now,
-                         {at, number(manifest->peer), keeper_message::kind_type::get_manifest, {}, {}, ""});
+                bag.send(
+                    now,
+                    {at, peer_index(manifest->peer), bundle_message::kind_type::get_manifest, {}, {}, ""});
             }
             else if (const auto* sections = std::get_if<fetch_sections>(&output)) {
                 fetch(at, *sections);
@@ -205,17 +209,20 @@
     {
         for (const auto& digest : wanted.digests) {
             if (wanted.origin.kind == bundle_origin_kind::peer) {
-                bag.send(
-                    now,
-                    {at, number(wanted.origin.peer), keeper_message::kind_type::get_section, {}, digest, ""});
+                bag.send(now, {at,
+                               peer_index(wanted.origin.peer),
+                               bundle_message::kind_type::get_section,
+                               {},
+                               digest,
+                               ""});
             }
             else if (service_up) {
-                act(at, keepers[at]->section_arrived(now, service_sections.at(digest)));
+                apply(at, managers[at]->section_arrived(now, service_sections.at(digest)));
             }
         }
     }
 
-    static auto number(const process_id& peer) -> std::size_t
+    static auto peer_index(const process_id& peer) -> std::size_t
     {
         return static_cast<std::size_t>(peer.text().at(1) - '0');
     }
--- a/tests/bundle/bundle_source_test.cpp
+++ b/tests/bundle/bundle_source_test.cpp
@@ -41,7 +41,7 @@
     cr_assert(value.accounts[0].request_priority == priority::doorstep);
 }
 
-Test(bundle_source, reports_every_mistake_at_once_with_its_line)
+Test(bundle_source, reports_every_mistake_with_its_line)
 {
     auto text = sample_bundle_text();
     text = replaced(text, "max_prompt = 1m", "max_prompt = lots");
@@ -59,7 +59,7 @@
     cr_assert(parse_bundle_source(text).error().message().find("line 33") != std::string::npos);
 }
 
-Test(bundle_source, limits_must_add_up)
+Test(bundle_source, rejects_inconsistent_limits)
 {
     const auto subject = [](const std::string& from, const std::string& to) {
         const auto reading = read_bundle_source(replaced(sample_bundle_text(), from, to));
@@ -75,7 +75,7 @@
     cr_assert(subject("[route booking]", "[route two words]") == "route two words");
 }
 
-Test(bundle_source, text_without_meaning_is_no_crash)
+Test(bundle_source, rejects_malformed_text_without_crashing)
 {
     for (const auto* text : {"", "[", "]", "=", "[]", "a=b", "[bundle", "[bundle]\nversion", "\0\n[x y]"}) {
         cr_assert(!read_bundle_source(text).mistakes.empty(), "%s", text);
--- a/tests/bundle/signed_bundle_test.cpp
+++ b/tests/bundle/signed_bundle_test.cpp
@@ -5,7 +5,7 @@
 
 using namespace dragonflymill;
 
-Test(ed25519, keys_read_back_from_pem_and_signatures_hold)
+Test(ed25519, keys_round_trip_through_pem_and_signatures_verify)
 {
     const auto key = ed25519_private_key::generate().value();
     const auto again = ed25519_private_key::from_pem(key.pem().value()).value();
@@ -18,7 +18,7 @@
     cr_assert(ed25519_private_key::from_pem("no key").has_error());
 }
 
-Test(signed_bundle, both_partners_must_sign)
+Test(signed_bundle, requires_both_signatures)
 {
     const auto whole = test_signed(test_bundle(7));
     cr_assert(verify_manifest(whole, test_partners()).has_value());
@@ -38,7 +38,7 @@
     cr_assert(verify_manifest(whole, test_partners('x')).has_error());
 }
 
-Test(signed_bundle, the_manifest_reads_back_and_sections_fit_it)
+Test(signed_bundle, manifest_round_trips_and_sections_match_it)
 {
     const auto value = test_bundle(7);
     const auto whole = test_signed(value);
@@ -49,7 +49,7 @@
     cr_assert(assemble_bundle(whole.manifest, texts).error().kind() == error_kind::corrupt);
 }
 
-Test(signed_bundle, a_key_change_needs_both_keys_and_serves_processes_with_old_settings)
+Test(signed_bundle, accepts_a_key_change_signed_by_both_keys)
 {
     const auto change = change_key("cooperative", bundle_version(8), test_key('c'), test_key('d')).value();
     const auto value = test_bundle(8, 100, 'd');
@@ -67,7 +67,7 @@
     cr_assert(decode_signed_manifest(encode_signed_manifest(whole)).value() == whole);
 }
 
-Test(signed_bundle, changed_texts_are_refused_without_a_crash)
+Test(signed_bundle, rejects_corrupted_manifests_without_crashing)
 {
     const auto text = encode_signed_manifest(test_signed(test_bundle(7)));
     random_source random(1);
--- a/tests/control/control_core_test.cpp
+++ b/tests/control/control_core_test.cpp
@@ -14,33 +14,33 @@
 
 namespace {
 
-constexpr std::size_t fleet = 30;
+constexpr std::size_t fleet_size = 30;
 
 } // namespace
 
-Test(control_core, few_processes_watch_and_they_change)
+Test(control_core, only_three_processes_watch_and_watchers_rotate)
 {
-    core_fleet world(fleet);
+    core_fleet world(fleet_size);
     world.run(20s);
-    std::map<std::size_t, int> turns;
+    std::map<std::size_t, int> watch_counts;
     for (int slot = 0; slot < 50; ++slot) {
         std::size_t watchers = 0;
-        for (std::size_t at = 0; at < fleet; ++at) {
+        for (std::size_t at = 0; at < fleet_size; ++at) {
             const bool watches = world.cores[at]->watches(world.now, wall_instant(1min * slot));
             watchers += watches ? 1 : 0;
-            turns[at] += watches ? 1 : 0;
+            watch_counts[at] += watches ? 1 : 0;
         }
         cr_assert(watchers == 3, "%zu", watchers);
     }
-    cr_assert(turns.size() == fleet);
-    for (const auto& [at, count] : turns) {
+    cr_assert(watch_counts.size() == fleet_size);
+    for (const auto& [at, count] : watch_counts) {
         cr_assert(count < 20);
     }
 }
 
-Test(control_core, a_bundle_given_to_one_is_in_force_at_all)
+Test(control_core, a_bundle_pushed_to_one_process_reaches_all)
 {
-    core_fleet world(fleet);
+    core_fleet world(fleet_size);
     world.run(15s);
     world.push(4, test_bundle(7));
     world.run(5s);
@@ -51,7 +51,7 @@
     }
 }
 
-Test(control_core, what_is_not_sealed_is_counted_and_dropped)
+Test(control_core, drops_and_counts_unsealed_datagrams)
 {
     auto core = control_core::create(core_options(0), 1, instant{}).value();
     cr_assert(core.datagram_arrived(instant{}, "no datagram", "x").empty());
@@ -62,7 +62,7 @@
     cr_assert(control_core::create(nameless, 1, instant{}).has_error());
 }
 
-Test(platform_reader, answers_are_read_or_refused)
+Test(platform_reader, parses_valid_responses_and_rejects_malformed_ones)
 {
     const auto read = parse_config_value(200, R"({"revision":3,"value":"aGVsbG8="})");
     cr_assert(read.end == read_end::value && read.revision == 3 && read.value == "hello");
--- a/tests/control/control_plane_test.cpp
+++ b/tests/control/control_plane_test.cpp
@@ -33,7 +33,7 @@
     return std::all_of(started.begin(), started.end(), [&](const auto& each) { return condition(*each); });
 }
 
-auto knows_two(const plane_fixture& each) -> bool
+auto knows_both_peers(const plane_fixture& each) -> bool
 {
     const auto seen = each.snapshot();
     return seen != nullptr && seen->members.size() == 2;
@@ -45,18 +45,18 @@
 }
 
 // The first push is refused until the process knows that nobody has a bundle.
-auto push_until_taken(const planes& started, const bundle& value) -> bool
+auto push_until_accepted(const planes& started, const bundle& value) -> bool
 {
     return eventually([&] { return push_result(*started.front(), value).has_value(); });
 }
 
 } // namespace
 
-Test(control_plane, processes_find_each_other_and_a_pushed_bundle_spreads)
+Test(control_plane, processes_discover_each_other_and_replicate_a_pushed_bundle)
 {
     const auto started = start_three();
-    cr_assert(eventually([&] { return all(started, knows_two); }));
-    cr_assert(push_until_taken(started, test_bundle(7)));
+    cr_assert(eventually([&] { return all(started, knows_both_peers); }));
+    cr_assert(push_until_accepted(started, test_bundle(7)));
     cr_assert(eventually([&] { return all(started, [](const auto& each) { return each.version() == 7; }); }));
     cr_assert(push_result(*started[1], test_bundle(8)).has_value());
     cr_assert(eventually([&] { return all(started, [](const auto& each) { return each.version() == 8; }); }));
@@ -66,10 +66,10 @@
     cr_assert(seen->gateways_expected == 3);
 }
 
-Test(control_plane, a_bad_push_is_refused_with_the_reason)
+Test(control_plane, rejects_an_invalid_push_with_the_reason)
 {
     const auto started = start_three();
-    cr_assert(push_until_taken(started, test_bundle(7)));
+    cr_assert(push_until_accepted(started, test_bundle(7)));
     auto bad = test_bundle(8);
     bad.service_routes.front().upstreams.emplace_back("nobody");
     const auto refused = push_result(*started.front(), bad);
@@ -79,10 +79,10 @@
     cr_assert(started.front()->version() == 7);
 }
 
-Test(control_plane, an_operators_word_reaches_all_and_needs_the_key)
+Test(control_plane, operator_drain_reaches_all_processes_and_requires_the_key)
 {
     const auto started = start_three();
-    cr_assert(eventually([&] { return all(started, knows_two); }));
+    cr_assert(eventually([&] { return all(started, knows_both_peers); }));
     const control::peer_client client(5s);
     const auto address = started[1]->plane->self().peer_address;
     const failure_domain_id domain("a");
@@ -104,10 +104,10 @@
     }));
 }
 
-Test(control_plane, a_leaving_process_takes_no_new_work_anywhere)
+Test(control_plane, a_leaving_process_receives_no_new_work)
 {
     const auto started = start_three();
-    cr_assert(eventually([&] { return all(started, knows_two); }));
+    cr_assert(eventually([&] { return all(started, knows_both_peers); }));
     started[2]->plane->leave();
     cr_assert(eventually([&] {
         return !control::accepts_new_work(*started[0]->snapshot(), failure_domain_id("d2"), host_id("h2")) &&
@@ -115,7 +115,7 @@
     }));
 }
 
-Test(control_plane, processes_with_another_key_are_not_listened_to)
+Test(control_plane, ignores_datagrams_sealed_with_another_key)
 {
     const plane_fixture one(0);
     const plane_fixture other(1, {one.plane->self().gossip_address},
--- a/tests/control/core_fleet.h
+++ b/tests/control/core_fleet.h
@@ -34,7 +34,7 @@
 public:
     explicit core_fleet(std::size_t size, double drop_part = 0, std::uint64_t seed = 1)
         : cores(size)
-        , side(size, 0)
+        , partition(size, 0)
         , paused(size, false)
         , drop(drop_part)
         , random_(seed)
@@ -132,14 +132,14 @@
     instant now{};
     wall_instant wall{};
     std::vector<std::optional<control::control_core>> cores;
-    std::vector<int> side;
+    std::vector<int> partition;
     std::vector<bool> paused;
     double drop = 0;
 
 private:
     [[nodiscard]] auto reaches(std::size_t from, std::size_t to) const -> bool
     {
-        return to < cores.size() && side[from] == side[to] && !paused[to];
+        return to < cores.size() && partition[from] == partition[to] && !paused[to];
     }
 
     void fetch(std::size_t at, const control::fetch_peer_manifest& wanted)
--- a/tests/control/peer_client_test.cpp
+++ b/tests/control/peer_client_test.cpp
@@ -37,7 +37,7 @@
     cr_assert_not(ended_late);
 }
 
-Test(peer_client, shares_of_several_accounts_come_back_in_order)
+Test(peer_client, returns_shares_of_several_accounts_in_order)
 {
     const process_id home("home");
     control::peer_service_handlers handlers;
