--- a/include/dragonflymill/bundle/boot_answers.h
+++ b/include/dragonflymill/bundle/boot_answers.h
@@ -10,43 +10,44 @@
 
 namespace dragonflymill {
 
-/// How a starting process learns which bundle is in force.
+/// Settings for how a starting process learns which bundle is in force.
 struct boot_settings
 {
-    bool stands_alone = false;           ///< The only process there is: nobody can be asked.
-    std::size_t failure_domains = 3;     ///< Failure domains that have processes of ours.
-    duration patience = 3s;              ///< Wait for a second failure domain once one has answered.
-    duration first_start_patience = 10s; ///< Wait for a peer with a bundle while all say they have none.
+    bool stands_alone = false;       ///< No peers exist; does not wait for any.
+    std::size_t failure_domains = 3; ///< Failure domains that run processes of the fleet.
+    duration patience = 3s; ///< Longest wait for a second failure domain after the first peer with a bundle.
+    duration first_start_patience = 10s; ///< Wait for a peer with a bundle while all report none.
 };
 
-/// What peers said to a process that starts, and whether that is enough to put a bundle in force.
+/// Collects the replies of peers to a starting process and decides whether they suffice to adopt a bundle.
 ///
-/// A process keeps nothing over a restart, so only its peers know which bundle was in force. The
-/// configuration service may be stale, and adopting from it at once would take the process back to an older
-/// bundle. Bound: one answer a peer, at most 256 peers; more are left out.
+/// A process stores nothing across restarts, so only its peers know which bundle was in force. The
+/// configuration service may be stale: adopting from it immediately could revert the process to an older
+/// bundle. Keeps one reply per peer for at most 256 peers; further peers are ignored.
 class boot_answers
 {
 public:
-    /// A process that starts at `now`.
+    /// Starts collecting at `now`.
     boot_answers(boot_settings settings, instant now);
 
-    /// A peer is being asked: its answer is waited for as long as patience lasts.
+    /// Registers a peer that was queried; `decided` waits for its reply until `boot_settings::patience`
+    /// expires.
     void asked(const process_id& peer);
-    /// A peer said what it has in force, or that it has none.
+    /// Records a peer's reply: the bundle that it has in force, or none.
     void add(instant now, const process_id& peer, const failure_domain_id& domain,
              const std::optional<bundle_notice>& word);
-    /// A peer can't be reached (any more).
+    /// Removes an unreachable peer.
     void remove(const process_id& peer);
-    /// A bundle was found to be bad: nobody waits for it.
+    /// Removes all replies that name an invalid bundle.
     void forget(const bundle_notice& word);
 
-    /// Whether enough peers answered, or there can be none; stays true once it is.
+    /// Whether enough peers replied, or the process is standalone. Never returns to false.
     [[nodiscard]] auto decided(instant now) -> bool;
-    /// The highest bundle that a peer has in force.
+    /// The newest bundle reported by any peer.
     [[nodiscard]] auto best() const -> std::optional<bundle_notice>;
-    /// A peer that has it.
+    /// A peer that reported `word`.
     [[nodiscard]] auto holder(const bundle_notice& word) const -> std::optional<process_id>;
-    /// No more answers are needed.
+    /// Ends the collection and marks it as decided.
     void close();
 
 private:
--- a/include/dragonflymill/bundle/bundle_checks.h
+++ b/include/dragonflymill/bundle/bundle_checks.h
@@ -7,19 +7,19 @@
 
 namespace dragonflymill {
 
-/// A rule that a bundle breaks although each of its values is readable alone.
+/// A violated consistency rule of a bundle whose single values all parse.
 struct bundle_fault
 {
     std::string section; ///< Kind and name of the entry, such as `route booking`.
-    std::string key;     ///< The key of it.
-    std::string problem; ///< What is wrong.
-    std::string remedy;  ///< What to do.
+    std::string key;     ///< Key within the entry; empty for the entry as a whole.
+    std::string problem; ///< Description of the violation.
+    std::string remedy;  ///< How to correct it.
 
     friend auto operator==(const bundle_fault&, const bundle_fault&) -> bool = default;
 };
 
-/// Every rule that the bundle breaks: names used twice or unknown, limits that don't add up, accounts of
-/// neither partner. An empty list means that it can be put in force.
+/// Returns every violated rule: duplicate or unknown names, inconsistent limits, accounts of unknown
+/// partners. An empty list means that the bundle may be adopted.
 [[nodiscard]] auto check_bundle(const bundle& value) -> std::vector<bundle_fault>;
 
 } // namespace dragonflymill
--- a/include/dragonflymill/bundle/bundle_codec.h
+++ b/include/dragonflymill/bundle/bundle_codec.h
@@ -10,36 +10,36 @@
 
 namespace dragonflymill {
 
-/// A part of a bundle's canonical text. Entries keep their section for good, so that a change of one entry
-/// changes one section and only that one travels.
+/// A part of a bundle's canonical text. An entry always belongs to the same section, so a change of one entry
+/// changes one section, and only that section is fetched.
 struct bundle_section
 {
-    std::string name; ///< Its place, such as `accounts/07`.
+    std::string name; ///< Path within the bundle, such as `accounts/07`.
     std::string text; ///< Canonical text of its entries.
 
     friend auto operator==(const bundle_section&, const bundle_section&) -> bool = default;
 };
 
-/// Largest section, in bytes: what the configuration service holds under one key.
+/// Largest section, in bytes: the size limit of one key of the configuration service.
 inline constexpr std::size_t max_section_bytes = std::size_t{1} << 20U;
-/// Sections that upstreams are spread over, and again accounts. Worked out in docs/design/bundle.md.
+/// Number of sections for upstreams, and likewise for accounts. Derived in docs/design/bundle.md.
 inline constexpr std::size_t section_buckets = 32;
-/// Most sections of a bundle.
+/// Maximum number of sections: both sets of buckets plus head, models and routes.
 inline constexpr std::size_t max_sections = 2 * section_buckets + 3;
 
-/// The canonical text: one way to write each bundle, sorted, without comments.
+/// Encodes the canonical text: sorted, without comments, exactly one text per bundle.
 [[nodiscard]] auto encode_bundle(const bundle& value) -> std::string;
 
-/// Reads canonical text; anything else, be it only in order or spelling, is refused.
+/// Decodes canonical text; returns an error for any other text, even if only order or spelling differ.
 [[nodiscard]] auto decode_bundle(std::string_view text) -> result<bundle>;
 
-/// The sections of a bundle, sorted by name; empty ones are left out.
+/// Splits a bundle into sections, sorted by name, without empty ones.
 [[nodiscard]] auto split_bundle(const bundle& value) -> std::vector<bundle_section>;
 
-/// Puts sections together again and refuses what `split_bundle` would not have made.
+/// Joins sections into a bundle; returns an error if `split_bundle` would not produce exactly these sections.
 [[nodiscard]] auto join_bundle(const std::vector<bundle_section>& sections) -> result<bundle>;
 
-/// Digest of the canonical text.
+/// SHA-256 of the canonical text.
 [[nodiscard]] auto digest_of(const bundle& value) -> sha256_digest;
 
 } // namespace dragonflymill
--- a/include/dragonflymill/bundle/bundle_manager.h
+++ b/include/dragonflymill/bundle/bundle_manager.h
@@ -17,122 +17,122 @@
 
 namespace dragonflymill {
 
-/// Where a bundle comes from.
+/// Kind of source of a bundle.
 enum class bundle_origin_kind
 {
     service,       ///< The configuration service.
     peer,          ///< Another process.
-    operator_push, ///< An operator, who sends the sections too.
+    operator_push, ///< An operator's push, which includes the sections.
 };
 
-/// Where a bundle comes from, by name.
+/// Source of a bundle.
 struct bundle_origin
 {
     bundle_origin_kind kind = bundle_origin_kind::service; ///< The kind of source.
-    process_id peer;                                       ///< Which peer; empty for the others.
+    process_id peer;                                       ///< The peer; empty for other kinds.
 
     friend auto operator==(const bundle_origin&, const bundle_origin&) -> bool = default;
 };
 
-/// Settings of a bundle keeper.
+/// Settings of `bundle_manager`.
 struct bundle_manager_settings
 {
-    std::vector<partner_entry> trusted; ///< The two partners and the keys they are known by at first.
-    bundle_version min_version;         ///< No bundle below it is ever adopted.
-    boot_settings boot;                 ///< How a starting process learns what is in force.
-    duration fetch_timeout = 1s;        ///< A fetch without an answer is tried elsewhere after it.
-    std::uint32_t max_fetches = 6;      ///< Tries at one bundle before it has to be heard of again.
+    std::vector<partner_entry> trusted; ///< The two partners with their initially trusted keys.
+    bundle_version min_version;         ///< Bundles below this version are never adopted.
+    boot_settings boot;                 ///< How a starting process learns which bundle is in force.
+    duration fetch_timeout = 1s;        ///< An unanswered fetch is retried at another source after this time.
+    std::uint32_t max_fetches = 6; ///< Fetch attempts per bundle before it is dropped until the next notice.
 };
 
-/// The bundle to put in force from now on.
+/// Puts a bundle in force.
 struct adopt_bundle
 {
-    bundle_notice word;                  ///< Its name.
+    bundle_notice word;                  ///< Version and digest.
     std::shared_ptr<const bundle> value; ///< The bundle.
 };
 
-/// Ask `peer` for the signed manifest that it has in force.
+/// Fetches the signed manifest that `peer` has in force.
 struct fetch_manifest
 {
-    process_id peer;    ///< Whom to ask.
-    bundle_notice word; ///< What it said it has.
+    process_id peer;    ///< The peer.
+    bundle_notice word; ///< The bundle that it reported.
 };
 
-/// Get these sections from the origin.
+/// Fetches sections from `origin`.
 struct fetch_sections
 {
-    bundle_origin origin;               ///< Whom to ask.
-    std::vector<sha256_digest> digests; ///< The sections wanted.
+    bundle_origin origin;               ///< The source.
+    std::vector<sha256_digest> digests; ///< Digests of the sections.
 };
 
-/// A bundle was not taken; the one in force stays.
+/// A bundle was rejected; the one in force stays.
 struct reject_bundle
 {
-    bundle_origin origin; ///< Where it came from.
-    error why;            ///< Why, and what to do.
+    bundle_origin origin; ///< Its source.
+    error why;            ///< Reason and remedy.
 };
 
-/// Something that operators must look at.
+/// A condition that needs an operator's attention.
 struct bundle_alarm
 {
-    /// What is wrong.
+    /// Kind of alarm.
     enum class kind_type
     {
-        two_of_one_version, ///< Two different bundles carry one version.
-        service_stale,      ///< The configuration service has an older bundle than processes have.
-        term_ended,         ///< The bundle's term is over: nothing is served.
+        two_of_one_version, ///< Two different bundles have the same version.
+        service_stale,      ///< The configuration service has an older bundle than the processes.
+        term_ended,         ///< The bundle's term has ended: the process is not ready.
     };
-    kind_type kind = kind_type::service_stale; ///< What is wrong.
-    std::string text;                          ///< In words.
+    kind_type kind = kind_type::service_stale; ///< Kind of alarm.
+    std::string text;                          ///< Description for operators.
 };
 
-/// What the daemon is to do.
+/// An action for the daemon to perform.
 using bundle_manager_output =
     std::variant<adopt_bundle, fetch_manifest, fetch_sections, reject_bundle, bundle_alarm>;
-/// In the order in which they are to be done.
+/// Actions, in order.
 using bundle_manager_outputs = std::vector<bundle_manager_output>;
 
-/// Decides which bundle is in force at this process, without a store: it asks the others when it starts,
-/// takes over what is newer and signed by both partners, and never goes back.
+/// Decides which bundle is in force at this process without persistent storage: queries peers at start,
+/// adopts newer bundles that both partners signed, and never reverts to an older one.
 ///
-/// Bounds: one bundle in force and one on its way, each at most 8 MiB; 8 peers that have the latter; 16 each
-/// of refusals, bad bundles and conflicts; the oldest goes when one of these is full.
+/// Bounds: one bundle in force and one being fetched, at most 8 MiB each; 8 peers to fetch the latter from;
+/// 16 entries each of rejections, invalid bundles and conflicts, of which the oldest is dropped.
 class bundle_manager
 {
 public:
-    /// A keeper of a process that starts at `now`.
+    /// Creates the manager of a process that starts at `now`.
     bundle_manager(bundle_manager_settings settings, instant now);
 
-    /// A peer is being asked what it has in force, because this process starts.
+    /// Registers a peer that this starting process queried for its bundle.
     void peer_asked(const process_id& peer) { boot_.asked(peer); }
-    /// A peer in `domain` said which bundle it has in force, or that it has none.
+    /// Handles a notice of the bundle that a peer in `domain` has in force, or that it has none.
     [[nodiscard]] auto peer_said(instant now, const process_id& peer, const failure_domain_id& domain,
                                  const std::optional<bundle_notice>& word) -> bundle_manager_outputs;
-    /// A peer can't be reached: what it said no longer holds back a starting process.
+    /// Handles an unreachable peer: its notice no longer delays a starting process.
     [[nodiscard]] auto peer_lost(instant now, const process_id& peer) -> bundle_manager_outputs;
-    /// The text of a signed manifest arrived.
+    /// Handles the text of a signed manifest.
     [[nodiscard]] auto manifest_arrived(instant now, const bundle_origin& origin, const std::string& text)
         -> bundle_manager_outputs;
-    /// The text of a section arrived; its digest tells which.
+    /// Handles the text of a section, identified by its digest.
     [[nodiscard]] auto section_arrived(instant now, const std::string& text) -> bundle_manager_outputs;
-    /// Time passes. `wall` is civil time, for the end of the term only.
+    /// Advances timers. `wall` is only compared with the end of the term.
     [[nodiscard]] auto tick(instant now, wall_instant wall) -> bundle_manager_outputs;
 
-    /// Name of the bundle in force.
+    /// Version and digest of the bundle in force.
     [[nodiscard]] auto word() const -> std::optional<bundle_notice>;
     /// The bundle in force; null while there is none.
     [[nodiscard]] auto in_force() const -> std::shared_ptr<const bundle>;
-    /// Whether the process may serve as far as the bundle goes: one is in force and its term is not over.
+    /// Whether a bundle is in force and its term has not ended.
     [[nodiscard]] auto ready() const -> bool { return in_force_.has_value() && !term_ended_; }
-    /// Name of the bundle on its way.
+    /// Version and digest of the bundle being fetched.
     [[nodiscard]] auto pending() const -> std::optional<bundle_notice>;
-    /// Signed manifest of the bundle in force, to hand to a peer; empty while there is none.
+    /// Signed manifest of the bundle in force, for peers; empty while there is none.
     [[nodiscard]] auto manifest_text() const -> std::string;
-    /// Text of a section of the bundle in force; null if it has none of that digest.
+    /// Text of a section of the bundle in force; null if no section has this digest.
     [[nodiscard]] auto section(const sha256_digest& digest) const -> std::shared_ptr<const std::string>;
-    /// Refusals so far.
+    /// Number of rejections so far.
     [[nodiscard]] auto rejected_count() const -> std::uint64_t { return rejected_count_; }
-    /// The last refusals, oldest first.
+    /// The last rejections, oldest first.
     [[nodiscard]] auto rejections() const -> const std::vector<reject_bundle>& { return rejections_; }
 
 private:
--- a/include/dragonflymill/bundle/bundle_source.h
+++ b/include/dragonflymill/bundle/bundle_source.h
@@ -9,23 +9,23 @@
 
 namespace dragonflymill {
 
-/// What a bundle's source text says, and every mistake in it.
+/// Parse result of a bundle's source text.
 struct bundle_reading
 {
-    bundle value; ///< The bundle, entries sorted by name; of use only without mistakes.
-    std::vector<source_mistake> mistakes; ///< In the order of the lines.
+    bundle value; ///< The bundle, entries sorted by name; valid only if there are no mistakes.
+    std::vector<source_mistake> mistakes; ///< All mistakes, in line order.
 };
 
-/// Largest source text taken, in bytes.
+/// Largest accepted source text, in bytes.
 inline constexpr std::size_t max_bundle_text = std::size_t{8} << 20U;
 
-/// Reads a bundle's source text and reports all its mistakes at once, those of cross checks too.
+/// Parses a bundle's source text and reports all mistakes at once, including those of `check_bundle`.
 [[nodiscard]] auto read_bundle_source(std::string_view text) -> bundle_reading;
 
-/// Reads a bundle's source text; the error lists every mistake, a line each.
+/// Parses a bundle's source text; the error lists every mistake on its own line.
 [[nodiscard]] auto parse_bundle_source(std::string_view text) -> result<bundle>;
 
-/// The bundle with the entries of each kind sorted by name: the order of the canonical form.
+/// Returns the bundle with the entries of each kind sorted by name, the canonical order.
 [[nodiscard]] auto sorted(bundle value) -> bundle;
 
 } // namespace dragonflymill
--- a/include/dragonflymill/bundle/digest.h
+++ b/include/dragonflymill/bundle/digest.h
@@ -10,7 +10,7 @@
 
 namespace dragonflymill {
 
-/// SHA-256 of some bytes: the name under which content-addressed data travels.
+/// SHA-256 digest; the key of content-addressed data.
 class sha256_digest
 {
 public:
@@ -20,33 +20,33 @@
     using bytes_type = std::array<std::uint8_t, size>;
 
     sha256_digest() = default;
-    /// Wraps the bytes of a digest.
+    /// Creates a digest from its bytes.
     explicit sha256_digest(const bytes_type& bytes)
         : bytes_(bytes)
     {
     }
-    /// Reads 64 lower-case hexadecimal digits.
+    /// Parses 64 lower-case hexadecimal digits.
     [[nodiscard]] static auto from_hex(std::string_view text) -> result<sha256_digest>;
 
-    /// The bytes.
+    /// The raw bytes.
     [[nodiscard]] auto bytes() const -> const bytes_type& { return bytes_; }
     /// 64 lower-case hexadecimal digits.
     [[nodiscard]] auto hex() const -> std::string;
 
-    // NOLINTNEXTLINE(modernize-use-nullptr): the linter takes the zero of a rewritten a < b for a pointer
+    // NOLINTNEXTLINE(modernize-use-nullptr): false positive on the zero in the rewritten a < b
     friend auto operator<=>(const sha256_digest&, const sha256_digest&) -> std::strong_ordering = default;
 
 private:
     bytes_type bytes_{};
 };
 
-/// SHA-256 of `text`.
+/// Returns the SHA-256 of `text`.
 [[nodiscard]] auto sha256(std::string_view text) -> sha256_digest;
 
-/// Bytes as lower-case hexadecimal digits.
+/// Encodes bytes as lower-case hexadecimal digits.
 [[nodiscard]] auto to_hex(std::string_view bytes) -> std::string;
 
-/// Bytes from lower-case hexadecimal digits.
+/// Decodes lower-case hexadecimal digits; returns `invalid_input` for anything else.
 [[nodiscard]] auto from_hex(std::string_view text) -> result<std::string>;
 
 } // namespace dragonflymill
--- a/src/bundle/boot_answers.cpp
+++ b/src/bundle/boot_answers.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::size_t max_answers = 256;
-// One failure domain alone may be cut off and have been restarted as a whole.
+// A single failure domain may be partitioned and restarted as a whole, so its replies alone do not suffice.
 constexpr std::size_t required_domains = 2;
 
 } // namespace
@@ -71,10 +71,10 @@
     const auto required = std::min(required_domains, settings_.failure_domains);
     const auto with_bundle = domains(true);
     const bool wait_elapsed = first_bundle_ && now - *first_bundle_ >= settings_.patience;
-    // Peers that lag behind may answer first: the others asked are waited for as long as patience lasts.
+    // Lagging peers may reply first, so the other queried peers are awaited until `patience` expires.
     const bool found = (with_bundle >= required && all_answered()) || (with_bundle > 0 && wait_elapsed);
-    // A restarted failure domain whose processes only reach each other shows as "nobody has a bundle", the
-    // same as the very first start. Asking for a second failure domain, and for a while, tells them apart.
+    // In a restarted, partitioned failure domain every reachable peer reports no bundle, exactly as at the
+    // first start of the fleet. Replies from a second failure domain and a minimum wait distinguish the two.
     const bool first_start =
         with_bundle == 0 && domains(false) >= required && now - started_ >= settings_.first_start_patience;
     decided_ = decided_ || found || first_start;
--- a/src/bundle/bundle_checks.cpp
+++ b/src/bundle/bundle_checks.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// The rules, each a short method over the whole bundle; faults come out in the order of the rules.
+// Checks each rule in its own method; violations are reported in the order of the rules.
 class bundle_checker
 {
 public:
--- a/src/bundle/bundle_codec.cpp
+++ b/src/bundle/bundle_codec.cpp
@@ -27,7 +27,7 @@
     return value ? "yes" : "no";
 }
 
-// The shortest digits that read back as the same number.
+// Shortest decimal text that parses to the same number.
 auto rate_text(double per_second) -> std::string
 {
     std::array<char, 512> buffer{};
--- a/src/bundle/bundle_diff.cpp
+++ b/src/bundle/bundle_diff.cpp
@@ -13,7 +13,7 @@
 using key_values = std::map<std::string, std::string>;
 using section_values = std::map<std::string, key_values>;
 
-// Both bundles are compared in their canonical text, so that a new kind of entry needs no code here.
+// Parses the canonical text instead of comparing fields, so new kinds of entries need no code here.
 auto values_of(const bundle& value) -> section_values
 {
     section_values values;
--- a/src/bundle/bundle_manager.cpp
+++ b/src/bundle/bundle_manager.cpp
@@ -134,10 +134,9 @@
     return std::find(bad_.begin(), bad_.end(), word) != bad_.end();
 }
 
-// Guards against a bundle that goes back: the configuration service is stale, or a paused peer wakes and
-// offers what it had. It shows as a failure domain that was out and takes work again, or an account's old
-// key that works again. Nothing below the bundle in force, the settings' floor or (while starting) the
-// highest that a reachable peer has is ever put in force.
+// Prevents reverting to an older bundle that a stale configuration service or a resumed peer offers. A revert
+// would, for example, send work to a drained failure domain or accept an account's old key. A bundle older
+// than the one in force, `min_version` or, during start, the newest of any reachable peer is never adopted.
 auto bundle_manager::too_old(const bundle_notice& word) const -> bool
 {
     if (!guard_holds(guard::bundle_revert)) {
@@ -254,7 +253,7 @@
     pending_->keys = std::move(keys);
     pending_->fetches = 0;
     if (in_force_) {
-        // Sections that did not change are taken over, so only changed ones travel.
+        // Reuses unchanged sections, so that only changed ones are fetched.
         for (const auto& section : pending_->manifest->manifest.sections) {
             const auto found = in_force_->sections.find(section.digest);
             if (found != in_force_->sections.end()) {
@@ -289,7 +288,7 @@
         return;
     }
     if (from_peers) {
-        // The one that did not answer goes to the end, so that every holder has its turn.
+        // Moves the peer that did not reply to the end (round robin).
         std::rotate(pending_->holders.begin(), pending_->holders.begin() + 1, pending_->holders.end());
         pending_->origin = {bundle_origin_kind::peer, pending_->holders.front()};
     }
@@ -299,7 +298,7 @@
     ask(now, outputs);
 }
 
-// Gives up the bundle on its way and turns to the next best one known.
+// Drops the pending bundle and continues with the newest other one known.
 void bundle_manager::drop_pending(instant now, bundle_manager_outputs& outputs)
 {
     const auto dropped = pending_->word;
@@ -335,7 +334,7 @@
         pending_->value = std::make_shared<const bundle>(std::move(value).value());
     }
     if (wall_ && pending_->value->term_end <= *wall_) {
-        // It is kept: a clock that is set right again must not leave this process without a bundle.
+        // Keeps the bundle pending, so that it is adopted once a wrong clock is corrected.
         if (!std::exchange(pending_->term_over, true)) {
             reject(pending_->origin,
                    error(error_kind::invalid_input, "the bundle's term is over by this host's clock",
@@ -355,7 +354,7 @@
 {
     if (guard_holds(guard::bundle_revert)) {
         DRAGONFLYMILL_ASSERT(!in_force_ || supersedes(pending_->word, in_force_->word),
-                             "the bundle in force never gets older");
+                             "an adopted bundle must supersede the one in force");
     }
     in_force_ = held_bundle{pending_->word, std::move(*pending_->manifest), pending_->value,
                             std::move(pending_->sections)};
--- a/src/bundle/bundle_manager_report.cpp
+++ b/src/bundle/bundle_manager_report.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-// What a bundle keeper says of bundles that it does not take, and of what operators must look at.
+// Rejections and alarms of `bundle_manager`.
 
 namespace dragonflymill {
 
@@ -31,8 +31,8 @@
     outputs.push_back(std::move(rejection));
 }
 
-// Signatures are not part of a bundle's name: a half-signed copy is refused, while a whole one from another
-// source is still welcome.
+// A bundle's digest does not cover the signatures, so only this source is excluded: a fully signed copy from
+// another source is still accepted.
 void bundle_manager::reject_offer(instant now, const bundle_notice& word, const bundle_origin& origin,
                                   error why, bundle_manager_outputs& outputs)
 {
@@ -45,7 +45,7 @@
     }
 }
 
-// A bad bundle is refused whole and not fetched again, however many peers offer it; the old one stays.
+// Rejects an invalid bundle permanently: it is not fetched again from any source. The one in force stays.
 void bundle_manager::reject_for_good(const bundle_notice& word, const bundle_origin& origin, error why,
                                      bundle_manager_outputs& outputs)
 {
--- a/src/bundle/bundle_source.cpp
+++ b/src/bundle/bundle_source.cpp
@@ -130,7 +130,7 @@
     value.accounts.push_back(std::move(entry));
 }
 
-// Whether the section's kind is known; its values go into `value`.
+// Reads the section into `value`; returns whether its kind is known.
 auto read_section(section_reader& reader, const ini_section& section, bundle& value) -> bool
 {
     if (section.kind == "bundle") {
@@ -192,7 +192,7 @@
     }
 }
 
-// The line that a cross check's fault is about: the key's, or else the section's.
+// Line of the violated key, or else of its section; 0 if neither exists.
 auto find_line(const ini_document& document, const bundle_fault& fault) -> std::size_t
 {
     std::size_t line = 0;
--- a/src/bundle/ed25519.cpp
+++ b/src/bundle/ed25519.cpp
@@ -36,7 +36,7 @@
 {
     auto* key = EVP_PKEY_Q_keygen(nullptr, nullptr, "ED25519");
     if (key == nullptr) {
-        return key_error("no key could be made");
+        return key_error("key generation failed");
     }
     return ed25519_private_key(to_shared_key(key));
 }
@@ -47,7 +47,7 @@
                                                                         unsigned_bytes(seed), seed.size())
                                          : nullptr;
     if (key == nullptr) {
-        return key_error("a seed has 32 bytes");
+        return key_error("the seed is not 32 bytes long");
     }
     return ed25519_private_key(to_shared_key(key));
 }
@@ -55,7 +55,7 @@
 auto ed25519_private_key::from_pem(std::string_view pem) -> result<ed25519_private_key>
 {
     const bio_pointer bio(BIO_new_mem_buf(pem.data(), static_cast<int>(pem.size())), &BIO_free);
-    // No passphrase is asked for on the terminal: an encrypted key is refused.
+    // Rejects encrypted keys instead of prompting for a passphrase on the terminal.
     const auto no_passphrase = [](char*, int, int, void*) { return -1; };
     auto* key = PEM_read_bio_PrivateKey(bio.get(), nullptr, no_passphrase, nullptr);
     if (key == nullptr || EVP_PKEY_id(key) != EVP_PKEY_ED25519) {
@@ -70,7 +70,7 @@
     const bio_pointer bio(BIO_new(BIO_s_mem()), &BIO_free);
     auto* key = static_cast<EVP_PKEY*>(key_.get());
     if (PEM_write_bio_PrivateKey(bio.get(), key, nullptr, nullptr, 0, nullptr, nullptr) != 1) {
-        return key_error("the key can't be written");
+        return key_error("the key can't be encoded as PEM");
     }
     char* data = nullptr;
     const auto size = BIO_get_mem_data(bio.get(), &data);
--- a/src/bundle/keeper_text.h
+++ b/src/bundle/keeper_text.h
@@ -6,7 +6,7 @@
 
 namespace dragonflymill {
 
-/// How messages name a bundle.
+/// Text that identifies a bundle in messages.
 [[nodiscard]] inline auto text_of_version(const bundle_notice& word) -> std::string
 {
     return "version " + std::to_string(word.version.value());
--- a/src/bundle/manifest_codec.cpp
+++ b/src/bundle/manifest_codec.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t key_bytes = 32;
 constexpr std::size_t signature_bytes = 64;
 
-// Cuts lines into words and keeps the first failure, so that the readers below need no checks of their own.
+// Splits lines into words and records any failure, so callers check only `finished` at the end.
 class line_reader
 {
 public:
@@ -20,7 +20,7 @@
     {
     }
 
-    // Goes on to the next line if its first word is `keyword`.
+    // Advances to the next line if its first word is `keyword`.
     auto next(std::string_view keyword) -> bool
     {
         const auto end = rest_.find('\n');
@@ -162,7 +162,7 @@
     }
     value.manifest.term_end = reader.checked(parse_wall_instant(reader.word()));
     read_lists(reader, value);
-    // Only the one canonical spelling is taken: two spellings of one manifest would have two digests.
+    // Accepts only the canonical text: two texts of one manifest would have different digests.
     if (!reader.finished() || encode_signed_manifest(value) != text) {
         return malformed_manifest();
     }
--- a/src/bundle/section_reader.h
+++ b/src/bundle/section_reader.h
@@ -10,11 +10,11 @@
 
 namespace dragonflymill {
 
-/// Reads the typed values of one section and notes each mistake with its line.
+/// Reads the typed values of one section and records each mistake with its line.
 class section_reader
 {
 public:
-    /// Reads `section`, adding to `mistakes`; both outlive the reader.
+    /// Reads `section` and appends to `mistakes`; both must outlive the reader.
     section_reader(const ini_section& section, std::vector<source_mistake>& mistakes);
 
     /// Reads `key` with `parse` into `target`; a missing key is a mistake if `required`.
@@ -33,7 +33,7 @@
         target = Target(std::move(parsed).value());
     }
 
-    /// Reads a list of names, separated by commas.
+    /// Reads a comma-separated list of names.
     template <typename Id>
     void names(std::string_view key, std::vector<Id>& target, bool required = true)
     {
@@ -46,10 +46,10 @@
         }
     }
 
-    /// Reports keys that nobody asked for, and keys given twice. Called last.
+    /// Reports unknown and duplicate keys. Must be called last.
     void finish();
 
-    /// Notes a mistake of this section.
+    /// Records a mistake in this section.
     void add(std::size_t line, std::string_view key, std::string problem, std::string remedy);
 
 private:
@@ -62,16 +62,16 @@
     std::set<std::string, std::less<>> known_;
 };
 
-/// Reads a name: 1 to 64 of letters, digits, dot, dash and underscore.
+/// Parses a name: 1 to 64 letters, digits, dots, dashes and underscores.
 [[nodiscard]] auto parse_name(std::string_view text) -> result<std::string>;
 
-/// Reads `size` bytes written as lower-case hexadecimal digits.
+/// Checks that `text` is `size` bytes in lower-case hexadecimal and returns it.
 [[nodiscard]] auto parse_hex(std::string_view text, std::size_t size) -> result<std::string>;
 
-/// Reads an IP number and a port, such as `10.0.0.7:7101` or `[fd00::7]:7101`.
+/// Checks that `text` is an IP address and port and returns it, such as `10.0.0.7:7101` or `[fd00::7]:7101`.
 [[nodiscard]] auto parse_address(std::string_view text) -> result<std::string>;
 
-/// Title of a section, as mistakes name it.
+/// Title of a section for messages: kind and name.
 [[nodiscard]] auto section_title(std::string_view kind, std::string_view name) -> std::string;
 
 } // namespace dragonflymill
--- a/src/bundle/signed_bundle.cpp
+++ b/src/bundle/signed_bundle.cpp
@@ -19,7 +19,7 @@
     return found == partners.end() ? nullptr : &*found;
 }
 
-// Takes over the change if it starts at the trusted key; one that starts at an older key is history.
+// Applies the change if it replaces the trusted key; skips a change of an older key.
 auto apply_key_change(const key_change& change, bundle_version version, std::vector<partner_entry>& trusted)
     -> result<void>
 {
@@ -128,8 +128,8 @@
     }
     const auto text = encode_manifest(value.manifest);
     for (const auto& partner : keys) {
-        // A bundle with one signature shows as a configuration that only one partner knows of; both are
-        // needed, each checked against its own trusted key, so that neither can sign for the other.
+        // Both signatures are required, each verified with that partner's own trusted key. Otherwise one
+        // partner could put a configuration in force that the other does not know.
         if (!signed_by(value, partner, text)) {
             return unauthorized_error("the signature of " + partner.name + " is missing or wrong");
         }
