--- a/src/control/admin_endpoint.h
+++ b/src/control/admin_endpoint.h
@@ -9,17 +9,17 @@
 
 namespace dragonflymill {
 
-/// What a daemon lets operators do through its admin address. Called on the thread that serves it.
+/// Operations of a daemon's admin address. Called on the thread that serves it.
 struct admin_handlers
 {
-    std::function<process_status()> status; ///< How the process is.
-    std::function<result<void>()> drain;    ///< Begins a planned stop, as SIGTERM does.
-    std::function<result<void>(const bundle_package&)> take_bundle; ///< Checks and takes over a bundle.
+    std::function<process_status()> status;                         ///< Returns the process's status.
+    std::function<result<void>()> drain;                            ///< Starts a planned stop, like SIGTERM.
+    std::function<result<void>(const bundle_package&)> take_bundle; ///< Verifies and adopts a bundle.
 };
 
-/// Answers one request to the admin address: `GET /admin/status`, `POST /admin/drain` and `POST
-/// /admin/bundle` with a signed bundle as its body. A bundle needs no trusted channel, since both partners
-/// signed it; status and drain do, so the address belongs on a loopback or operators' network.
+/// Handles one request to the admin address: `GET /admin/status`, `POST /admin/drain` and `POST
+/// /admin/bundle` with a signed bundle as its body. Requests are not authenticated. A bundle is verified by
+/// its signatures, but status and drain are not, so bind the address to loopback or an operators' network.
 [[nodiscard]] auto answer_admin(const http::http_request& request, const admin_handlers& handlers)
     -> http::http_response;
 
--- a/src/control/admin_server.cpp
+++ b/src/control/admin_server.cpp
@@ -69,7 +69,7 @@
 
 auto admin_server::take(const bundle_package& package) -> result<void>
 {
-    // The operator waits for the control thread's word; nothing else is served on this thread meanwhile.
+    // Blocks until the control thread replies; this thread serves nothing else meanwhile.
     const auto promise = std::make_shared<std::promise<result<void>>>();
     auto future = promise->get_future();
     control_.push({encode_signed_manifest(package.manifest), package.sections},
--- a/src/control/admin_server.h
+++ b/src/control/admin_server.h
@@ -15,14 +15,14 @@
 class admin_server
 {
 public:
-    /// Statuses come from `status`, which the daemon's threads keep; `control` takes pushed bundles; `drain`
-    /// begins a planned stop.
+    /// `status` returns the status maintained by the daemon's threads, `control` receives pushed bundles and
+    /// `drain` starts a planned stop.
     admin_server(boost::asio::io_context& context, daemon_control& control,
                  std::function<process_status()> status, std::function<void()> drain);
 
-    /// Listens on `address`; does nothing if it is empty.
+    /// Listens on `address`; does nothing if `address` is empty.
     [[nodiscard]] auto listen(const socket_address& address) -> result<void>;
-    /// The control plane has news; callable from its thread.
+    /// Updates the status from a new snapshot; may be called on the control thread.
     void note(const control_snapshot& snapshot);
 
 private:
@@ -32,7 +32,7 @@
     daemon_control& control_;
     std::function<process_status()> status_;
     std::function<void()> drain_;
-    runtime::latest<process_status> fleet_; // the part that the control plane knows
+    runtime::latest<process_status> fleet_; // status fields from the control plane
     admin_handlers handlers_;
     http::http_server server_;
 };
--- a/src/control/bundle_package.cpp
+++ b/src/control/bundle_package.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::string_view package_magic = "dragonflymill-bundle ";
-/// Line between manifest and sections; no line of a manifest reads like it.
+/// Separator between manifest and sections; never occurs as a line of a manifest.
 constexpr std::string_view content_line = "content\n";
 
 auto malformed_package(std::string why) -> error
--- a/src/control/control_core.cpp
+++ b/src/control/control_core.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t max_alarms = 16;
 constexpr duration boot_query_interval = 500ms;
 constexpr std::size_t boot_query_peers = 8;
-// Peers of later rounds are asked too, but not waited for.
+// The replies of peers queried in later rounds are used but not awaited.
 constexpr std::uint32_t awaited_boot_rounds = 2;
 
 void log_member_change(const member_update& update)
@@ -159,8 +159,9 @@
     return out;
 }
 
-// Few processes watch, so that the fleet's calls stay far below the service's budget however large it grows.
-// Each works out for itself whether it is one of them; views that differ for a moment cost a call or two.
+// Only `watchers` processes watch, so the number of calls stays far below the service's budget regardless of
+// the fleet's size. Each process elects the watchers by rendezvous hashing; temporarily different membership
+// views cost only a few extra calls.
 auto control_core::watches(instant now, wall_instant wall) const -> bool
 {
     if (membership_.isolated(now)) {
@@ -253,7 +254,7 @@
 void control_core::send(const send_datagram& sent, control_outputs& out)
 {
     auto bytes = seal_.seal(encode_datagram(sent.message));
-    DRAGONFLYMILL_ASSERT(bytes.size() <= max_datagram_bytes, "a datagram fits one frame");
+    DRAGONFLYMILL_ASSERT(bytes.size() <= max_datagram_bytes, "a sealed datagram must not exceed max_datagram_bytes");
     out.emplace_back(send_bytes{sent.address, std::move(bytes)});
 }
 
--- a/src/control/control_core.h
+++ b/src/control/control_core.h
@@ -15,97 +15,99 @@
 
 namespace dragonflymill::control {
 
-/// Settings of the deciding half of the control plane.
+/// Settings of `control_core`.
 struct control_core_options
 {
     membership_settings membership;     ///< This process and its gossip.
-    bundle_manager_settings bundle;     ///< Trusted partners, floor, start.
-    std::vector<std::string> seal_keys; ///< Keys of the datagrams' seal.
-    std::uint32_t watchers = 3;         ///< Processes that watch the configuration service at a time.
-    duration watch_slot = 60s;          ///< Watchers are chosen anew after it.
+    bundle_manager_settings bundle;     ///< Trusted partners, minimum version and start-up behaviour.
+    std::vector<std::string> seal_keys; ///< Keys for sealing datagrams.
+    std::uint32_t watchers = 3;         ///< Processes that watch the configuration service concurrently.
+    duration watch_slot = 60s;          ///< Interval after which the watchers are re-elected.
 };
 
-/// Send these bytes to a gossip address.
+/// Sends bytes to a gossip address.
 struct send_bytes
 {
     std::string address; ///< IP and UDP port.
     std::string bytes;   ///< A sealed datagram.
 };
 
-/// Ask a peer for its signed manifest.
+/// Fetches a peer's signed manifest.
 struct fetch_peer_manifest
 {
-    process_id peer;     ///< Whom.
-    std::string address; ///< Where: IP and TCP port.
+    process_id peer;     ///< The peer.
+    std::string address; ///< Its IP and TCP port.
 };
 
-/// Ask a peer for sections.
+/// Fetches sections from a peer.
 struct fetch_peer_sections
 {
-    process_id peer;                    ///< Whom.
-    std::string address;                ///< Where: IP and TCP port.
-    std::vector<sha256_digest> digests; ///< Which.
+    process_id peer;                    ///< The peer.
+    std::string address;                ///< Its IP and TCP port.
+    std::vector<sha256_digest> digests; ///< Digests of the sections.
 };
 
-/// Read sections from the configuration service.
+/// Fetches sections from the configuration service.
 struct fetch_service_sections
 {
-    std::vector<sha256_digest> digests; ///< Which.
+    std::vector<sha256_digest> digests; ///< Digests of the sections.
 };
 
-/// A later start of this process is there: stop at once.
+/// A newer incarnation of this process exists; stops this one immediately.
 struct stop_process
 {
 };
 
-/// What the shell is to do.
+/// An action for `control_loop` to perform.
 using control_output =
     std::variant<send_bytes, fetch_peer_manifest, fetch_peer_sections, fetch_service_sections, stop_process>;
-/// In the order in which they are to be done.
+/// Actions, in order.
 using control_outputs = std::vector<control_output>;
 
-/// Puts bundle keeper, membership and drain state together; everything but sockets and clocks.
+/// Combines bundle manager, membership and drain state; independent of sockets and clocks.
 class control_core
 {
 public:
-    /// A process that starts at `now`; `seed` is for its random choices.
+    /// Creates the core of a process that starts at `now`; `seed` initializes its random source. Returns an
+    /// error for unusable seal keys, or names or addresses that don't fit into a datagram.
     [[nodiscard]] static auto create(control_core_options options, std::uint64_t seed, instant now)
         -> result<control_core>;
 
-    /// A datagram arrived.
+    /// Handles a datagram.
     [[nodiscard]] auto datagram_arrived(instant now, std::string_view bytes, const std::string& from)
         -> control_outputs;
-    /// Time passes; called about ten times a second.
+    /// Advances timers; called about ten times per second.
     [[nodiscard]] auto tick(instant now, wall_instant wall) -> control_outputs;
-    /// A signed manifest arrived.
+    /// Handles a signed manifest.
     [[nodiscard]] auto manifest_arrived(instant now, const bundle_origin& origin, const std::string& text)
         -> control_outputs;
-    /// A section arrived.
+    /// Handles a section.
     [[nodiscard]] auto section_arrived(instant now, const std::string& text) -> control_outputs;
-    /// A peer did not answer a fetch.
+    /// Handles a fetch that a peer did not answer.
     [[nodiscard]] auto fetch_failed(instant now, const process_id& peer) -> control_outputs;
-    /// The host list was read.
+    /// Applies a newly read host list.
     void host_list_read(instant now, const std::vector<listed_host>& hosts);
-    /// More addresses to join by.
+    /// Adds addresses for joining the fleet.
     void add_seeds(const std::vector<std::string>& addresses) { membership_.add_seeds(addresses); }
-    /// An operator takes something out of service, or back.
+    /// Handles an operator's request to drain a subject or return it to service.
     [[nodiscard]] auto operator_drain(instant now, const drain_subject& subject, bool out) -> control_outputs;
-    /// This process begins to stop.
+    /// Announces that this process is leaving.
     [[nodiscard]] auto leave() -> control_outputs;
 
-    /// Whether this process is one of those that watch the configuration service now.
+    /// Whether this process is currently one of the watchers of the configuration service.
     [[nodiscard]] auto watches(instant now, wall_instant wall) const -> bool;
-    /// Whether it starts and has nobody to ask: it reads the service once in a while, without adopting yet.
+    /// Whether no bundle is in force and no peer is alive. The process then polls the configuration service,
+    /// without adopting yet.
     [[nodiscard]] auto nobody_to_ask() const -> bool;
-    /// What the rest of the daemon needs to know; null if nothing changed since the last call.
+    /// Snapshot for the rest of the daemon; null if nothing changed since the last call.
     [[nodiscard]] auto take_snapshot(instant now) -> std::shared_ptr<const control_snapshot>;
-    /// The bundle in force, to hand to peers.
+    /// The bundle manager; holds the bundle to serve to peers.
     [[nodiscard]] auto keeper() const -> const bundle_manager& { return keeper_; }
-    /// Who is there.
+    /// The membership.
     [[nodiscard]] auto members() const -> const membership& { return membership_; }
-    /// What is drained.
+    /// The drain state.
     [[nodiscard]] auto drains() const -> const drain_state& { return drains_; }
-    /// Datagrams refused because of their seal or content.
+    /// Number of datagrams rejected for an invalid seal or content.
     [[nodiscard]] auto refused_datagrams() const -> std::uint64_t { return refused_datagrams_; }
 
 private:
--- a/src/control/control_loop.cpp
+++ b/src/control/control_loop.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::uint64_t udp_ip_header_bytes = 28;
+constexpr std::uint64_t udp_ip_header_bytes = 28; // IPv4 20, UDP 8
 constexpr duration watch_backoff = 2s;
 constexpr duration watch_backoff_jitter = 4s;
 constexpr duration no_peers_read_interval = 5s;
@@ -120,8 +120,8 @@
 
 void control_loop::carry_out(const control_outputs& outputs)
 {
-    // Before anyone hears of a new bundle it must be there to fetch: a peer that fetched too early would get
-    // the old one and wait for its timeout.
+    // Serves a new bundle before announcing it. A peer that fetched earlier would receive the old bundle and
+    // retry only after its timeout.
     serve_peers();
     for (const auto& output : outputs) {
         if (const auto* sent = std::get_if<send_bytes>(&output)) {
@@ -261,9 +261,9 @@
     const auto now = runtime::now();
     const bool failing = read.end == read_end::failed || read.end == read_end::over_budget;
     if (failing) {
-        // A service that starts anew may count its revisions anew.
+        // A restarted service may restart its revision numbers.
         revision_ = 0;
-        // Spread, so that watchers of a service that comes back do not all call at once.
+        // Jitter keeps the watchers from reconnecting simultaneously when the service recovers.
         next_watch_ = now + watch_backoff +
                       duration(random_.below(static_cast<std::uint64_t>(watch_backoff_jitter.count())));
     }
--- a/src/control/control_loop.h
+++ b/src/control/control_loop.h
@@ -18,28 +18,28 @@
 
 namespace dragonflymill::control {
 
-/// What runs on the control plane's thread: it carries out what `control_core` decides.
+/// Runs on the control thread and performs the actions of `control_core`.
 class control_loop
 {
 public:
-    /// Runs on `context`; nothing happens before `start`.
+    /// Runs on `context`; idle until `start`.
     control_loop(boost::asio::io_context& context, const control_plane_options& options,
                  const control_plane_handlers& handlers, control_core core, datagram_seal seal,
                  std::unique_ptr<gossip_socket> socket, peer_service& service);
 
-    /// Begins to receive, tick and read.
+    /// Starts receiving datagrams, the tick timer and reads of the platform.
     void start();
-    /// Tells the others that this process is stopping.
+    /// Announces to peers that this process is leaving.
     void leave();
-    /// Takes over an operator's bundle.
+    /// Verifies and adopts an operator's bundle.
     void push(const pushed_bundle& bundle, const peer_answer& done);
-    /// Takes over an operator's word of this process.
+    /// Applies a drain requested at this process.
     void drain(const drain_subject& subject, bool out);
-    /// Takes over an operator's word after a check of its seal.
+    /// Verifies the seal of an operator's drain request and applies it.
     void drain(const sealed_drain& word, const peer_answer& done);
-    /// Asks the home of an account.
+    /// Requests shares from the owner of an account.
     void ask(const ask_shares& asked, const share_answer& done);
-    /// Traffic so far; callable from every thread.
+    /// Traffic so far; may be called on any thread.
     [[nodiscard]] auto traffic() const -> control_traffic;
 
 private:
--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -45,7 +45,7 @@
         builder.RegisterService(&service_);
         server_ = builder.BuildAndStart();
         if (server_ == nullptr || peer_port == 0) {
-            return error(error_kind::unavailable, "can't listen on " + options_.peer_listen,
+            return error(error_kind::unavailable, "can't listen for peers on " + options_.peer_listen,
                          "free the address or change control.peer_listen");
         }
         self.peer_address = ip + ":" + std::to_string(peer_port);
@@ -73,7 +73,7 @@
     void stop()
     {
         if (server_ != nullptr) {
-            // Calls that wait for the control thread are cut off before it ends, or they would wait for ever.
+            // Cancels pending calls before the control thread ends; they would otherwise wait for it forever.
             server_->Shutdown(std::chrono::system_clock::now() + std::chrono::milliseconds(200));
         }
         thread_.stop();
@@ -128,7 +128,7 @@
         boost::asio::post(thread_.context(), std::move(task));
     }
 
-    // Two processes must not draw the same: name, start and address differ.
+    // Derived from name, address and incarnation, so that each process gets a different seed.
     auto random_seed() const -> std::uint64_t
     {
         const auto& membership = options_.core.membership;
--- a/src/control/control_plane.h
+++ b/src/control/control_plane.h
@@ -19,48 +19,49 @@
 /// Settings of the control plane.
 struct control_plane_options
 {
-    control_core_options core;               ///< This process; its addresses are filled in when bound.
-    std::string udp_listen = "127.0.0.1:0";  ///< IP and port of the gossip.
-    std::string peer_listen = "127.0.0.1:0"; ///< IP and port where peers fetch bundles.
-    std::string advertise_ip;                ///< IP that others reach this process by; empty: as listened on.
-    std::optional<boost::asio::ip::tcp::endpoint> configuration_service; ///< The platform's, if there is one.
-    std::optional<boost::asio::ip::tcp::endpoint> host_list;             ///< The platform's, if there is one.
-    std::uint16_t gossip_port = 0;    ///< Port of the gossip at listed hosts; 0 if they differ.
-    duration tick = 100ms;            ///< Time between two looks at the timers.
-    duration watch_wait = 10s;        ///< Longest wait of a watch.
-    duration host_list_interval = 5s; ///< Time between two reads of the host list.
-    duration fetch_deadline = 2s;     ///< For one fetch from a peer.
-    double drop_received = 0;         ///< Part of the datagrams dropped on receipt; for measurements only.
+    control_core_options core;               ///< This process; `open` sets its addresses.
+    std::string udp_listen = "127.0.0.1:0";  ///< IP and UDP port for gossip.
+    std::string peer_listen = "127.0.0.1:0"; ///< IP and TCP port for peers' gRPC calls.
+    std::string advertise_ip;                ///< IP announced to peers; empty for the IP of `udp_listen`.
+    std::optional<boost::asio::ip::tcp::endpoint>
+        configuration_service; ///< The platform's configuration service, if any.
+    std::optional<boost::asio::ip::tcp::endpoint> host_list; ///< The platform's host list, if any.
+    std::uint16_t gossip_port = 0;    ///< Gossip port of listed hosts; 0 if not uniform.
+    duration tick = 100ms;            ///< Timer resolution.
+    duration watch_wait = 10s;        ///< Long-poll timeout of a watch.
+    duration host_list_interval = 5s; ///< Interval between reads of the host list.
+    duration fetch_deadline = 2s;     ///< Timeout of one call to a peer.
+    double drop_received = 0;         ///< Share of received datagrams to drop, 0 to 1; for measurements only.
 };
 
-/// What the control plane tells the daemon; called on its own thread, so the daemon hands it on.
+/// Callbacks to the daemon; called on the control thread unless stated otherwise.
 struct control_plane_handlers
 {
-    std::function<void(std::shared_ptr<const control_snapshot>)> on_snapshot; ///< Something changed.
-    std::function<void()> on_superseded;                                      ///< Stop: a successor is there.
+    std::function<void(std::shared_ptr<const control_snapshot>)> on_snapshot; ///< The state changed.
+    std::function<void()> on_superseded; ///< A newer incarnation of this process exists; stop.
     std::function<void(instant)>
-        on_bundle_confirmed; ///< A peer asked then has no newer bundle; may be empty.
+        on_bundle_confirmed; ///< A peer queried at that time has no newer bundle; may be empty.
     std::function<std::vector<share_grant>(const std::vector<share_request>&)>
-        on_shares_asked; ///< Called on gRPC's threads; empty at sidecars.
+        on_shares_asked; ///< Called on gRPC threads; empty at sidecars.
 };
 
 /// Traffic of the control plane so far, in bytes on the wire without frame overhead below IP.
 struct control_traffic
 {
     std::uint64_t datagrams_sent = 0;     ///< Datagrams sent.
-    std::uint64_t bytes_sent = 0;         ///< Bytes of them, with UDP and IP headers.
+    std::uint64_t bytes_sent = 0;         ///< Bytes sent, with UDP and IP headers.
     std::uint64_t datagrams_received = 0; ///< Datagrams received.
-    std::uint64_t bytes_received = 0;     ///< Bytes of them, with UDP and IP headers.
-    std::uint64_t fetched_bytes = 0;      ///< Manifests and sections fetched from peers and the service.
-    std::uint64_t service_reads = 0;      ///< Calls to the configuration service.
+    std::uint64_t bytes_received = 0;     ///< Bytes received, with UDP and IP headers.
+    std::uint64_t fetched_bytes = 0; ///< Bytes of manifests and sections fetched from peers and the service.
+    std::uint64_t service_reads = 0; ///< Calls to the configuration service.
 };
 
-/// Runs the state that processes share without a store: gossip, bundles and drains. One thread with one
-/// Asio context owns all of it; gRPC's threads only hand requests over.
+/// Runs the replicated state of the fleet: membership gossip, bundles and drains, without a shared store. One
+/// thread with one Asio context owns all of it; gRPC threads post requests to it.
 class control_plane
 {
 public:
-    /// Opens the sockets; nothing runs before `start`.
+    /// Opens the sockets; idle until `start`.
     [[nodiscard]] static auto open(control_plane_options options, control_plane_handlers handlers)
         -> result<std::unique_ptr<control_plane>>;
 
@@ -70,19 +71,20 @@
 
     /// Starts the thread.
     void start();
-    /// Tells the others that this process is stopping; it goes on answering until `stop`.
+    /// Announces to peers that this process is leaving; it keeps replying until `stop`.
     void leave();
     /// Ends the thread and closes the sockets.
     void stop();
-    /// Takes over a signed bundle, as an operator's push does; `done` comes on the control thread.
+    /// Adopts a signed bundle like an operator's push; calls `done` on the control thread.
     void push(pushed_bundle bundle, peer_answer done);
-    /// Takes something out of service, or back, as an operator's word does.
+    /// Drains a subject (`out`) or returns it to service, like an operator's drain request.
     void drain(drain_subject subject, bool out);
-    /// Asks the home of an account for a share; `done` comes on gRPC's threads, with nothing if there was no
-    /// answer or the home is not known.
+    /// Requests shares from the owner of an account. Calls `done` on a gRPC thread, on the control thread if
+    /// the owner is unknown, or directly if this process is the owner; without grants if the owner is unknown
+    /// or did not reply.
     void request_shares(ask_shares asked, share_answer done);
 
-    /// This process as others see it, with its real addresses.
+    /// This process with the addresses it is bound to, as announced to peers.
     [[nodiscard]] auto self() const -> const member_info&;
     /// Traffic so far.
     [[nodiscard]] auto traffic() const -> control_traffic;
--- a/src/control/daemon_control.cpp
+++ b/src/control/daemon_control.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// What a bundle file holds: a package with signatures, or a source text without.
+/// Contents of a bundle file: a signed package, or an unsigned source text.
 struct bundle_file
 {
     std::shared_ptr<const bundle> content;
@@ -45,7 +45,7 @@
         pushed_bundle{encode_signed_manifest(package.value().manifest), package.value().sections}};
 }
 
-/// Nothing if the setting was left out.
+/// Converts an address; empty if the setting is absent.
 auto optional_endpoint(const socket_address& address) -> std::optional<boost::asio::ip::tcp::endpoint>
 {
     const auto endpoint = tcp_endpoint(address);
@@ -99,14 +99,14 @@
     daemon->signed_file_ = std::move(file.value().package);
     if (settings.control.udp_listen.empty()) {
         if (!daemon->from_file_) {
-            return error(error_kind::invalid_input, "there is neither a bundle file nor a gossip address",
+            return error(error_kind::invalid_input, "neither a bundle file nor a gossip address is set",
                          "set [bundle] file, or [control] udp_listen and seeds");
         }
         return daemon;
     }
     if (settings.bundle.partners.size() != 2) {
         return error(error_kind::invalid_input,
-                     "a process that takes bundles from others must know who signs them",
+                     "a process with a gossip address needs the partners that sign bundles",
                      "set [bundle] partners to both partners' names and public keys");
     }
     const auto key = runtime::read_key_file(settings.control.key_file);
--- a/src/control/daemon_control.h
+++ b/src/control/daemon_control.h
@@ -8,7 +8,7 @@
 
 namespace dragonflymill::control {
 
-/// What a daemon's settings say about the state that processes share.
+/// Settings of `daemon_control`.
 struct daemon_control_settings
 {
     process_role role = process_role::gateway; ///< Gateway or sidecar.
@@ -17,34 +17,34 @@
     control_settings control;                  ///< [control]
 };
 
-/// A daemon's part in the state that processes share: the bundle in force, who is there, what is drained.
-/// Without a gossip address in the settings it is a process on its own that runs by its bundle file for good.
+/// A daemon's connection to the replicated state of the fleet: bundle in force, membership and drains.
+/// Without a gossip address in the settings, the process runs standalone with the bundle of its bundle file.
 class daemon_control
 {
 public:
-    /// Reads the bundle file, if one is set, and opens the sockets, if they are set.
+    /// Reads the bundle file and opens the sockets, as far as configured.
     [[nodiscard]] static auto open(const daemon_control_settings& settings, control_plane_handlers handlers)
         -> result<std::unique_ptr<daemon_control>>;
 
-    /// Hands out what is known at once and begins to listen.
+    /// Starts the control plane; a standalone process publishes its only snapshot immediately.
     void start();
-    /// Tells the others that this process is stopping.
+    /// Announces to peers that this process is leaving.
     void leave();
     /// Closes the sockets.
     void stop();
-    /// Takes over a signed bundle that an operator pushed; `done` may come on another thread.
+    /// Adopts a signed bundle that an operator pushed; may call `done` on another thread.
     void push(pushed_bundle pushed, const peer_answer& done);
-    /// Asks the home of an account for a share; `done` comes on another thread, with nothing if there is no
-    /// answer.
+    /// Requests shares from the owner of an account; may call `done` on another thread, without grants if
+    /// there is no reply.
     void request_shares(ask_shares asked, share_answer done);
-    /// Address of its gossip; empty without one.
+    /// Gossip address of this process; empty if standalone.
     [[nodiscard]] auto gossip_address() const -> std::string;
 
 private:
     daemon_control(control_plane_handlers handlers, std::shared_ptr<const bundle> from_file);
 
     control_plane_handlers handlers_;
-    std::shared_ptr<const bundle> from_file_; // unsigned, for a process on its own
+    std::shared_ptr<const bundle> from_file_; // bundle of the file, signed or not; served as is if standalone
     std::optional<pushed_bundle> signed_file_;
     std::unique_ptr<control_plane> plane_;
 };
--- a/src/control/drain_request.h
+++ b/src/control/drain_request.h
@@ -6,12 +6,12 @@
 
 namespace dragonflymill::control {
 
-/// An operator's word, sealed with the fleet's key at `now`.
+/// Creates an operator's drain request, sealed with the fleet's key at `now`.
 [[nodiscard]] auto seal_drain(const datagram_seal& seal, const drain_subject& subject, bool back,
                               wall_instant now) -> sealed_drain;
 
-/// Checks an operator's word: sealed with the fleet's key, not older than a minute, and sent later than the
-/// one that was taken last, so that a recorded one can't be played back.
+/// Verifies an operator's drain request: sealed with the fleet's key, at most one minute off this host's
+/// clock, and newer than the last accepted one, which prevents replay.
 [[nodiscard]] auto check_drain(const datagram_seal& seal, const sealed_drain& word, wall_instant now,
                                std::uint64_t last_time_ms) -> result<void>;
 
--- a/src/control/gossip_socket.cpp
+++ b/src/control/gossip_socket.cpp
@@ -72,7 +72,7 @@
                                    if (failure == boost::asio::error::operation_aborted) {
                                        return;
                                    }
-                                   // An unreachable peer shows here as an error of the next receive.
+                                   // Ignores errors: ICMP errors of unreachable peers are reported here.
                                    if (!failure) {
                                        on_datagram_({buffer_.data(), size}, to_text(from_));
                                    }
--- a/src/control/gossip_socket.h
+++ b/src/control/gossip_socket.h
@@ -14,23 +14,23 @@
 
 namespace dragonflymill::control {
 
-/// The UDP socket of the gossip. It never waits for room: what can't be sent now is lost, as any datagram may
-/// be.
+/// The UDP socket for gossip. Sending never blocks: a datagram that can't be sent immediately is dropped,
+/// like any datagram may be.
 class gossip_socket
 {
 public:
-    /// Told of each datagram and its sender's address.
+    /// Called with each datagram and its sender's address.
     using receiver = std::function<void(std::string_view bytes, const std::string& from)>;
 
-    /// Binds to an IP and port.
+    /// Binds to an IP and port; returns `unavailable` if that fails.
     [[nodiscard]] static auto open(boost::asio::io_context& context, const std::string& address)
         -> result<std::unique_ptr<gossip_socket>>;
 
-    /// Receives from now on.
+    /// Starts receiving.
     void start(receiver on_datagram);
-    /// Sends a datagram; an address that can't be read or reached is skipped.
+    /// Sends a datagram; ignores invalid and unreachable addresses.
     void send(const std::string& address, std::string_view bytes);
-    /// The port it is bound to.
+    /// The bound port.
     [[nodiscard]] auto port() const -> std::uint16_t;
 
 private:
--- a/src/control/peer_client.cpp
+++ b/src/control/peer_client.cpp
@@ -34,7 +34,7 @@
             "check its address, or ask another process"};
 }
 
-// One call with a single answer; keeps itself alive until it ends.
+// State of one unary call, owned by its completion callback.
 template <typename Request, typename Reply>
 struct unary_call
 {
@@ -76,7 +76,7 @@
     {
         done_(status.ok());
         calls_.end(context_);
-        delete this; // NOLINT(cppcoreguidelines-owning-memory): gRPC's way
+        delete this; // NOLINT(cppcoreguidelines-owning-memory): required by gRPC reactors
     }
 
 private:
@@ -97,7 +97,7 @@
     return error(error_kind::conflict, problem, remedy);
 }
 
-/// The grants of a reply; none if it does not fit the request.
+/// Converts the grants of a reply; empty if their number does not match the request.
 auto to_grants(const wire::shares_ask& asked, const wire::shares_reply& reply) -> std::vector<share_grant>
 {
     std::vector<share_grant> grants;
@@ -134,7 +134,7 @@
 void peer_client::fetch_sections(const std::string& address, const std::vector<sha256_digest>& digests,
                                  std::function<void(std::string)> each, std::function<void(bool)> done) const
 {
-    // NOLINTNEXTLINE(cppcoreguidelines-owning-memory): it deletes itself when the call is over
+    // NOLINTNEXTLINE(cppcoreguidelines-owning-memory): the reactor deletes itself in OnDone
     new section_stream_call(address, digests, std::move(each), std::move(done), deadline_, calls_);
 }
 
@@ -144,7 +144,7 @@
     auto call = std::make_shared<unary_call<wire::shares_ask, wire::shares_reply>>();
     call->stub = make_stub(address);
     for (const auto& request : requests) {
-        call->request.set_gateway(request.gateway.text()); // the same in all
+        call->request.set_gateway(request.gateway.text()); // identical in all requests
         auto& asked = *call->request.add_accounts();
         asked.set_client_account(request.account.text());
         asked.set_demand(request.demand);
--- a/src/control/peer_client.h
+++ b/src/control/peer_client.h
@@ -11,34 +11,35 @@
 
 namespace dragonflymill::control {
 
-/// Asks other processes over gRPC; answers come on gRPC's threads, none after the client's destruction. A
-/// call ends within its deadline and is never repeated by the transport.
+/// gRPC client for other processes. Callbacks run on gRPC threads, never after the client's destruction. A
+/// call ends within its deadline and is not retried by the transport.
 class peer_client
 {
 public:
-    /// Calls end after `deadline`.
+    /// `deadline` is the timeout of each call.
     explicit peer_client(duration deadline)
         : deadline_(deadline)
     {
     }
 
-    /// Asks for the signed manifest; `done` gets nothing if it can't be had.
+    /// Fetches the signed manifest; `done` receives `nullopt` if the call fails or the peer has none.
     void fetch_manifest(const std::string& address,
                         std::function<void(std::optional<std::string>)> done) const;
-    /// Asks for sections: `each` gets every text, `done` whether all that the peer has came.
+    /// Fetches sections: `each` receives every text, `done` whether the stream completed. Sections that the
+    /// peer does not have are omitted.
     void fetch_sections(const std::string& address, const std::vector<sha256_digest>& digests,
                         std::function<void(std::string)> each, std::function<void(bool)> done) const;
-    /// Asks for parts of accounts' limits; `done` gets nothing if there was no answer.
+    /// Requests shares of accounts' limits; `done` receives no grants if the call fails.
     void ask_shares(const std::string& address, const std::vector<share_request>& requests,
                     share_answer done) const;
-    /// Pushes a bundle and waits for the answer.
+    /// Pushes a bundle and blocks until the reply.
     [[nodiscard]] auto push(const std::string& address, const pushed_bundle& bundle) const -> result<void>;
-    /// Sends an operator's word and waits for the answer.
+    /// Sends an operator's drain request and blocks until the reply.
     [[nodiscard]] auto drain(const std::string& address, const sealed_drain& word) const -> result<void>;
 
 private:
     duration deadline_;
-    mutable rpc::call_tracker calls_; // last, so that its calls end before anything else goes
+    mutable rpc::call_tracker calls_; // last member: its destructor waits for pending calls
 };
 
 } // namespace dragonflymill::control
--- a/src/control/peer_service.cpp
+++ b/src/control/peer_service.cpp
@@ -29,7 +29,7 @@
     return sha256_digest(raw);
 }
 
-// Sends the sections one after the other; the next goes when the one before has left.
+// Streams the sections; starts each write when the previous one has completed.
 class section_writer final : public grpc::ServerWriteReactor<wire::section_reply>
 {
 public:
@@ -48,7 +48,10 @@
             Finish(grpc::Status::CANCELLED);
         }
     }
-    void OnDone() override { delete this; } // NOLINT(cppcoreguidelines-owning-memory): gRPC's way
+    void OnDone() override
+    {
+        delete this;
+    } // NOLINT(cppcoreguidelines-owning-memory): required by gRPC reactors
 
 private:
     void next()
@@ -66,7 +69,7 @@
     wire::section_reply reply_;
 };
 
-// Collects a pushed bundle within its bounds and hands it on whole.
+// Collects the parts of a pushed bundle within its bounds and passes it on once complete.
 class push_reader final : public grpc::ServerReadReactor<wire::push_part>
 {
 public:
@@ -96,7 +99,10 @@
         }
         StartRead(&part_);
     }
-    void OnDone() override { delete this; } // NOLINT(cppcoreguidelines-owning-memory): gRPC's way
+    void OnDone() override
+    {
+        delete this;
+    } // NOLINT(cppcoreguidelines-owning-memory): required by gRPC reactors
 
 private:
     void finish_push()
@@ -159,13 +165,15 @@
             texts.push_back(found->second);
         }
     }
-    return new section_writer(std::move(texts)); // NOLINT(cppcoreguidelines-owning-memory): gRPC's way
+    return new section_writer(
+        std::move(texts)); // NOLINT(cppcoreguidelines-owning-memory): required by gRPC reactors
 }
 
 auto peer_service::push_bundle(grpc::CallbackServerContext* /*context*/, wire::push_reply* reply)
     -> grpc::ServerReadReactor<wire::push_part>*
 {
-    return new push_reader(reply, handlers_.on_push); // NOLINT(cppcoreguidelines-owning-memory): gRPC's way
+    return new push_reader(
+        reply, handlers_.on_push); // NOLINT(cppcoreguidelines-owning-memory): required by gRPC reactors
 }
 
 auto peer_service::drain(grpc::CallbackServerContext* context, const wire::drain_request* request,
--- a/src/control/peer_service.h
+++ b/src/control/peer_service.h
@@ -15,55 +15,55 @@
 
 namespace dragonflymill::control {
 
-/// The bundle in force as peers fetch it.
+/// The bundle in force, in the form that peers fetch.
 struct served_bundle
 {
     std::string manifest;                                                 ///< Signed manifest.
     std::map<sha256_digest, std::shared_ptr<const std::string>> sections; ///< Sections by digest.
 };
 
-/// An operator's bundle as it was pushed.
+/// A bundle as pushed by an operator, not yet verified.
 struct pushed_bundle
 {
     std::string manifest;              ///< Signed manifest.
     std::vector<std::string> sections; ///< Sections, in any order.
 };
 
-/// An operator's word as it was sent, its seal not yet checked.
+/// An operator's drain request as received, its seal not yet verified.
 struct sealed_drain
 {
-    drain_subject subject;     ///< What it is about.
-    bool back = false;         ///< In service again.
-    std::uint64_t time_ms = 0; ///< Civil time when it was sent.
-    std::string seal;          ///< Seal over all of it.
+    drain_subject subject;     ///< The host or failure domain.
+    bool back = false;         ///< Whether it returns to service.
+    std::uint64_t time_ms = 0; ///< Wall time of sending.
+    std::string seal;          ///< Seal over all other fields.
 };
 
-/// Told what the home of some accounts granted; nothing if there was no answer.
+/// Receives the grants of the accounts' owner; empty if there was no reply.
 using share_answer = std::function<void(std::vector<share_grant>)>;
 
-/// Told how a request ended.
+/// Receives the result of a request.
 using peer_answer = std::function<void(result<void>)>;
 
-/// What the service hands on; called on gRPC's threads.
+/// Handlers of the requests; called on gRPC threads.
 struct peer_service_handlers
 {
     std::function<void(pushed_bundle, peer_answer)> on_push; ///< An operator pushed a bundle.
-    std::function<void(sealed_drain, peer_answer)> on_drain; ///< An operator's word arrived.
+    std::function<void(sealed_drain, peer_answer)> on_drain; ///< An operator sent a drain request.
     std::function<std::vector<share_grant>(const std::vector<share_request>&)>
-        on_shares_asked; ///< A gateway asks for shares.
+        on_shares_asked; ///< A gateway requests shares.
 };
 
-/// What this process offers to peers and operators over gRPC.
+/// gRPC service for peers and operators.
 ///
-/// Bounds: a push of at most 9 MiB in 100 parts, a fetch of at most as many sections as a bundle has; more is
-/// refused.
+/// Bounds: rejects a push of more than 9 MiB or 100 parts; serves at most `max_sections` sections per fetch
+/// and ignores further digests.
 class peer_service final : public wire::peer_exchange::CallbackService
 {
 public:
-    /// Hands requests to `handlers`.
+    /// Passes requests to `handlers`.
     explicit peer_service(peer_service_handlers handlers);
 
-    /// Serves this bundle from now on.
+    /// Replaces the bundle to serve.
     void serve(std::shared_ptr<const served_bundle> bundle);
 
     auto fetch_manifest(grpc::CallbackServerContext* context, const wire::manifest_request* request,
--- a/src/control/platform_reader.h
+++ b/src/control/platform_reader.h
@@ -12,28 +12,28 @@
 
 namespace dragonflymill::control {
 
-/// How a read of the platform ended.
+/// Outcome of a read from the platform.
 enum class read_end
 {
-    value,       ///< There is a value.
-    none,        ///< There is none, or none newer.
-    over_budget, ///< The platform refused: too many reads.
-    failed,      ///< No usable answer.
+    value,       ///< A value was read.
+    none,        ///< There is no value, or no newer one.
+    over_budget, ///< Rejected by the platform's rate limit.
+    failed,      ///< No valid response.
 };
 
 /// A value of the configuration service.
 struct config_value
 {
-    read_end end = read_end::failed; ///< How the read ended.
-    std::uint64_t revision = 0;      ///< Its revision.
-    std::string value;               ///< Its bytes.
+    read_end end = read_end::failed; ///< Outcome of the read.
+    std::uint64_t revision = 0;      ///< Revision of the value.
+    std::string value;               ///< The decoded value.
 };
 
-/// The host list, or how its read ended.
+/// The host list.
 struct host_list_value
 {
-    read_end end = read_end::failed; ///< How the read ended.
-    std::vector<listed_host> hosts;  ///< The hosts.
+    read_end end = read_end::failed; ///< Outcome of the read.
+    std::vector<listed_host> hosts;  ///< The hosts; empty unless `end` is `value`.
 };
 
 /// Key of the signed manifest at the configuration service.
@@ -42,8 +42,8 @@
 /// Key of a section at the configuration service.
 [[nodiscard]] auto section_key(const sha256_digest& digest) -> std::string;
 
-/// Reads the configuration service and the host list (docs/upstreams.md); each read is a call of its own on
-/// one context.
+/// Reads the configuration service and the host list (docs/upstreams.md). Each read is a separate HTTP call;
+/// callbacks run on one context.
 class platform_reader
 {
 public:
@@ -56,7 +56,7 @@
     /// Reads a key.
     void read(const boost::asio::ip::tcp::endpoint& service, const std::string& key,
               std::function<void(config_value)> done);
-    /// Waits up to `wait` for a revision above `after`.
+    /// Waits up to `wait` for a revision greater than `after`.
     void watch(const boost::asio::ip::tcp::endpoint& service, const std::string& key, std::uint64_t after,
                duration wait, std::function<void(config_value)> done);
     /// Reads the host list.
@@ -69,9 +69,9 @@
     boost::asio::io_context& context_;
 };
 
-/// Reads the configuration service's answer.
+/// Parses a response of the configuration service; malformed ones yield `read_end::failed`.
 [[nodiscard]] auto parse_config_value(unsigned status, const std::string& body) -> config_value;
-/// Reads the host list's answer.
+/// Parses a response of the host list; malformed ones yield `read_end::failed`.
 [[nodiscard]] auto parse_host_list(unsigned status, const std::string& body) -> host_list_value;
 
 } // namespace dragonflymill::control
