--- a/tests/bundle/bundle_codec_test.cpp
+++ b/tests/bundle/bundle_codec_test.cpp
@@ -12,7 +12,7 @@
     const auto text = encode_bundle(value);
     cr_assert(decode_bundle(text).value() == value);
     cr_assert(decode_bundle("# comment\n" + text).has_error());
-    cr_assert(decode_bundle(sample_bundle_text()).has_error(), "other order, other spelling");
+    cr_assert(decode_bundle(sample_bundle_text()).has_error(), "different order and spelling");
     for (std::size_t size = 0; size < text.size(); size += 7) {
         const auto shorter = decode_bundle(text.substr(0, size));
         cr_assert(shorter.has_error() || shorter.value() != value,
--- a/tests/bundle/bundle_manager_test.cpp
+++ b/tests/bundle/bundle_manager_test.cpp
@@ -26,7 +26,7 @@
     return nullptr;
 }
 
-// Gives a keeper a whole bundle from the service.
+// Delivers a complete bundle from the configuration service.
 auto deliver_bundle(bundle_manager& manager, instant now, const bundle& value) -> bundle_manager_outputs
 {
     auto outputs = manager.manifest_arrived(now, {}, encode_signed_manifest(test_signed(value)));
@@ -101,9 +101,8 @@
 
 FAULT_CELL(bundle_read, config_down)
 {
-    // Operators see a new process serve although the configuration service is down.
-    // Order: the fleet has version 7, the service goes down, a process is replaced and asks its peers.
-    // Cause: what is signed needs no trusted source; any peer will do.
+    // A process restarts while the configuration service is down. It must get the bundle from any peer, since
+    // the signatures make a trusted source unnecessary.
     bundle_simulation world(1);
     world.publish(test_bundle(7));
     world.run(15s);
@@ -116,9 +115,9 @@
 
 FAULT_CELL(bundle_read, config_stale)
 {
-    // Without the guard a failure domain that was taken out would get work again after a rack restart.
-    // Order: the fleet has version 9, the service still shows 7, a whole failure domain restarts and reads
-    // it. Cause: the service is stale for long and a process remembers nothing.
+    // A failure domain restarts while the configuration service has long been stale: the fleet has version 9,
+    // the service still returns 7. Processes keep no state, so without the guard they would adopt 7 and send
+    // work to a drained failure domain.
     bundle_simulation world(2);
     world.publish(test_bundle(9));
     world.run(15s);
@@ -132,9 +131,9 @@
 
 FAULT_CELL(bundle_read, partition)
 {
-    // Callers see "not ready" from a process that is cut off, and no answer by rules that are out of date.
-    // Order: a failure domain is cut off and restarts; its processes reach only each other and the service.
-    // Cause: "nobody has a bundle" from one failure domain alone can't be told from a first start.
+    // A failure domain is partitioned and restarts, so its processes reach only each other and a stale
+    // service. They must stay not ready: replies of "no bundle" from one failure domain look the same as at a
+    // first start.
     bundle_simulation world(3);
     world.publish(test_bundle(9));
     world.run(15s);
@@ -150,9 +149,8 @@
 
 FAULT_CELL(bundle_read, process_dies)
 {
-    // Nobody sees anything: the peer that a starting process fetches from dies, and another one serves.
-    // Order: the process hears of version 7 from two peers, asks the first, which dies before it answers.
-    // Cause: ten hosts fail on an ordinary day, some in the middle of a fetch.
+    // The peer that a starting process fetches from dies before it replies. The fetch must continue at the
+    // other peer that reported the same bundle. About ten hosts fail per day, some in the middle of a fetch.
     bundle_manager_settings settings;
     settings.trusted = test_partners();
     bundle_manager manager(settings, instant{});
@@ -172,10 +170,9 @@
 
 FAULT_CELL(bundle_read, two_faults)
 {
-    // Operators see the whole fleet restart at once and come up by itself with what the service has.
-    // Order: all processes die together, none remembers anything, each asks the others and hears "none".
-    // Cause: a power cut. Only then, and after a wait, is the service's word enough; `min_version` is the
-    // floor.
+    // The whole fleet restarts at once after a power cut, so every peer reports no bundle. Only then, and
+    // after `first_start_patience`, may the service's bundle be adopted; `min_version` remains the lower
+    // limit.
     bundle_simulation world(4);
     world.publish(test_bundle(7));
     world.run(15s);
@@ -189,9 +186,8 @@
 
 FAULT_CELL(bundle_verify, config_stale)
 {
-    // Operators see the reason at every process, while the old bundle goes on serving.
-    // Order: version 8 is signed and published, but one of its sections breaks the cross checks.
-    // Cause: it was signed by a tool that did not check it.
+    // A signed and published version 8 violates a consistency rule because the signing tool did not check it.
+    // It must be rejected with the reason, and version 7 stays in force.
     bundle_manager manager(standalone_settings(), instant{});
     cr_assert(find_output<adopt_bundle>(deliver_bundle(manager, instant{}, test_bundle(7))) != nullptr);
     auto bad = test_bundle(8);
@@ -204,9 +200,9 @@
 
 FAULT_CELL(bundle_verify, same_twice)
 {
-    // Operators see an alarm, and every process serves the same one of the two bundles.
-    // Order: two operators sign different bundles of version 8; each reaches one half of the fleet.
-    // Cause: nobody counts versions but the operators. The lower digest is kept, whoever comes first.
+    // Two operators sign different bundles of version 8, and each reaches one half of the fleet; only
+    // operators assign versions. All processes must keep the bundle with the lower digest, whichever arrives
+    // first, and raise an alarm.
     bundle_simulation world(6);
     world.publish(test_bundle(7));
     world.run(15s);
@@ -222,19 +218,18 @@
     world.paused = {};
     world.service_up = false;
     world.run(5s);
-    const auto lower = std::min(word_of(manifest_of(test_bundle(8, 1))).digest,
-                                word_of(manifest_of(test_bundle(8, 2))).digest);
+    const auto lower_digest = std::min(word_of(manifest_of(test_bundle(8, 1))).digest,
+                                       word_of(manifest_of(test_bundle(8, 2))).digest);
     for (const auto& manager : world.managers) {
-        cr_assert(manager->word()->digest == lower);
+        cr_assert(manager->word()->digest == lower_digest);
     }
     cr_assert(has_alarm(world.alarms, bundle_alarm::kind_type::two_of_one_version));
 }
 
 FAULT_CELL(bundle_spread, message_lost)
 {
-    // Operators see a change in force everywhere within seconds on a network that loses a third.
-    // Order: words, manifests and sections are lost; each is asked for again, from another holder.
-    // Cause: datagrams are lost; fetches have a timeout and go elsewhere.
+    // A third of all notices, manifests and sections is lost. Fetches must time out and be retried at another
+    // peer, so that a change still reaches every process within 11 seconds.
     bundle_simulation world(7, {.drop = 0.33});
     world.publish(test_bundle(7));
     world.run(20s);
@@ -245,9 +240,8 @@
 
 FAULT_CELL(bundle_spread, config_down)
 {
-    // Operators push a bundle to one process while the service is down; the others have it a moment later.
-    // Order: the push reaches process 0, whose peers hear of it, fetch what changed and adopt it.
-    // Cause: the service is down for long; nothing but a signature is needed to trust a bundle.
+    // An operator pushes a bundle to one process while the service is down. The peers must learn of it, fetch
+    // only the changed sections and adopt it; the signatures suffice to trust it.
     bundle_simulation world(8);
     world.publish(test_bundle(7));
     world.run(15s);
@@ -261,14 +255,13 @@
     const auto sent = world.sections_sent;
     world.run(4s);
     cr_assert(world.all_have(8));
-    cr_assert(world.sections_sent - sent <= 2 * 3, "only changed sections travel");
+    cr_assert(world.sections_sent - sent <= 2 * 3, "only changed sections are fetched");
 }
 
 FAULT_CELL(bundle_spread, paused_wakes_late)
 {
-    // Without the guard a process that slept would take its peers back to the bundle it still has.
-    // Order: one process is paused while the fleet goes from 7 to 9, then wakes and offers 7.
-    // Cause: hosts pause processes; what they say when they wake was true before.
+    // A process is paused while the fleet goes from version 7 to 9, then resumes and offers the outdated 7.
+    // Without the guard its peers would revert to 7.
     bundle_simulation world(9);
     world.publish(test_bundle(7));
     world.run(15s);
@@ -283,9 +276,8 @@
 
 FAULT_CELL(bundle_spread, message_reordered)
 {
-    // Nobody sees anything: words, manifests and sections of two versions overtake each other, twice each.
-    // Order: version 8 and 9 are published at the same time, messages take up to five seconds.
-    // Cause: the network reorders; a text is known by its digest and a version never falls.
+    // Versions 8 and 9 are published at the same time, and messages are duplicated and delayed by up to five
+    // seconds. Texts are identified by their digest, so mixed-up messages must never lower the version.
     bundle_simulation world(10, {.duplicate = 0.5, .late = 0.3});
     world.publish(test_bundle(7));
     world.run(20s);
@@ -302,9 +294,8 @@
 
 FAULT_CELL(bundle_adopt, config_stale)
 {
-    // Without the guard an account's old key would work again.
-    // Order: version 8 is in force, then the service shows 7 again, as its replica lags.
-    // Cause: the configuration service is stale; a version below the one in force is never adopted.
+    // With version 8 in force, a lagging replica of the service returns 7 again. Adopting it would make an
+    // account's old key valid again; a version below the one in force must never be adopted.
     bundle_manager manager(standalone_settings(), instant{});
     cr_assert(find_output<adopt_bundle>(deliver_bundle(manager, instant{}, test_bundle(8))) != nullptr);
     const auto outputs = deliver_bundle(manager, instant{}, test_bundle(7));
@@ -315,9 +306,8 @@
 
 FAULT_CELL(bundle_adopt, message_doubled)
 {
-    // Nobody sees anything: a bundle that arrives again, whole, changes nothing.
-    // Order: manifest and sections of the bundle in force come a second time.
-    // Cause: the operator pushes twice, or the network doubles an answer.
+    // The manifest and sections of the bundle in force arrive a second time, from a repeated push or a
+    // duplicated reply. They must have no effect.
     bundle_manager manager(standalone_settings(), instant{});
     cr_assert(find_output<adopt_bundle>(deliver_bundle(manager, instant{}, test_bundle(8))) != nullptr);
     cr_assert(deliver_bundle(manager, instant{}, test_bundle(8)).empty());
@@ -325,9 +315,9 @@
 
 FAULT_CELL_MORE(bundle_adopt, process_dies, lagging_peers)
 {
-    // Operators see a replaced process with the bundle that was in force, though peers that lag answer first.
-    // Order: it asks three peers; two of different failure domains still have 7, the third has 8 and answers
-    // last. Cause: 8 is spreading just now; all that were asked are waited for, as long as patience lasts.
+    // A restarted process queries three peers while version 8 is being replicated. Two peers in different
+    // failure domains reply first with 7, the third replies last with 8. The process must wait for all
+    // queried peers and adopt 8.
     bundle_manager_settings settings;
     settings.trusted = test_partners();
     bundle_manager manager(settings, instant{});
@@ -346,25 +336,24 @@
 
 FAULT_CELL(bundle_adopt, clock_jump)
 {
-    // Callers are refused while the host's clock is wrong, and served again once it is right.
-    // Order: civil time jumps past the term's end at a serving process and at one that just starts.
-    // Cause: the clock of a host is set wrong; only the end of the term depends on it.
-    const wall_instant right(duration(1h));
-    const wall_instant wrong(24h * 365 * 200);
+    // A host's wall clock jumps past the end of the term, once at a serving and once at a starting process.
+    // Both must be not ready while the clock is wrong and recover once it is corrected.
+    const wall_instant correct_time(duration(1h));
+    const wall_instant wrong_time(24h * 365 * 200);
     bundle_manager manager(standalone_settings(), instant{});
-    auto outputs = manager.tick(instant{}, right);
+    auto outputs = manager.tick(instant{}, correct_time);
     outputs = deliver_bundle(manager, instant{}, test_bundle(7));
-    outputs = manager.tick(instant{} + 1s, wrong);
+    outputs = manager.tick(instant{} + 1s, wrong_time);
     cr_assert(find_output<bundle_alarm>(outputs)->kind == bundle_alarm::kind_type::term_ended);
     cr_assert(!manager.ready());
-    outputs = manager.tick(instant{} + 2s, right);
+    outputs = manager.tick(instant{} + 2s, correct_time);
     cr_assert(manager.ready());
 
-    bundle_manager late(standalone_settings(), instant{});
-    outputs = late.tick(instant{}, wrong);
-    outputs = deliver_bundle(late, instant{}, test_bundle(7));
+    bundle_manager starting(standalone_settings(), instant{});
+    outputs = starting.tick(instant{}, wrong_time);
+    outputs = deliver_bundle(starting, instant{}, test_bundle(7));
     cr_assert(find_output<adopt_bundle>(outputs) == nullptr);
-    outputs = late.tick(instant{} + 1s, right);
+    outputs = starting.tick(instant{} + 1s, correct_time);
     cr_assert(find_output<adopt_bundle>(outputs) != nullptr);
 }
 
@@ -387,9 +376,8 @@
 
 FAULT_CELL(bundle_adopt, message_reordered)
 {
-    // Without the guard an account's old limit would come back. Order: the manifest of 9 overtakes that of 8,
-    // whose sections are still under way; 9 is adopted, then the rest of 8 arrives. Cause: the network
-    // reorders.
+    // The manifest of version 9 overtakes the sections of version 8, so 9 is adopted first. Without the guard
+    // the remaining sections of 8 would restore an account's old limit.
     bundle_manager manager(standalone_settings(), instant{});
     const auto older = test_bundle(8, 1);
     static_cast<void>(manager.manifest_arrived(instant{}, {}, encode_signed_manifest(test_signed(older))));
@@ -402,9 +390,8 @@
 
 FAULT_CELL(bundle_adopt, paused_wakes_late)
 {
-    // Without the guard a process that slept would adopt what it had half fetched, long after the fleet went
-    // on. Order: it has the manifest of 8 and sleeps for an hour; it wakes, hears of 9, and then the sections
-    // of 8 come.
+    // A process is paused for an hour with version 8 partially fetched, while the fleet goes on to 9. Without
+    // the guard it would adopt 8 when the sections of 8 arrive after it resumed and adopted 9.
     bundle_manager manager(standalone_settings(), instant{});
     cr_assert(find_output<adopt_bundle>(deliver_bundle(manager, instant{}, test_bundle(7))) != nullptr);
     const auto unfinished = test_bundle(8, 1);
@@ -420,9 +407,8 @@
 
 FAULT_CELL(bundle_adopt, two_faults)
 {
-    // Without the guard a failure domain that is out would get work. Order: the service goes stale, and a
-    // process that has 9 dies; it starts anew beside peers of which one lags at 7. Cause: the new one
-    // remembers nothing.
+    // The service becomes stale and a process with version 9 restarts without state, next to a peer that lags
+    // at 7. Without the guard it would adopt 7 and send work to a drained failure domain.
     bundle_simulation world(21);
     world.publish(test_bundle(7));
     world.run(15s);
@@ -438,9 +424,8 @@
 
 FAULT_CELL(bundle_adopt, same_twice)
 {
-    // Without the guard the second slip goes through. Order: the service shows 7 after 8, comes right with 9,
-    // and shows 8 again. Cause: a stale replica is read more than once; each bundle in force is a floor for
-    // the next.
+    // A stale replica of the service is read twice: it returns 7 after 8, then 9, then 8 again. Each adopted
+    // bundle must be the lower limit for the next; without the guard the second stale read would be adopted.
     bundle_manager manager(standalone_settings(), instant{});
     std::uint64_t in_force = 0;
     for (const std::uint64_t version : {8U, 7U, 9U, 8U, 9U, 10U}) {
@@ -454,8 +439,8 @@
 
 FAULT_CELL(bundle_read, message_lost)
 {
-    // A replaced process serves all the same on a network that loses half of what its peers answer: it asks
-    // again, and another. Order: the fleet has 9, the service is down, a process starts anew.
+    // A process restarts while the service is down and half of its peers' replies are lost. It must retry its
+    // queries, also at other peers, until it has version 9.
     bundle_simulation world(22);
     world.publish(test_bundle(9));
     world.run(15s);
@@ -468,9 +453,8 @@
 
 FAULT_CELL(bundle_read, message_late)
 {
-    // A starting process reads 7 from a stale service at once, and most of its peers' words, of 9, come up to
-    // five seconds later. It must end with 9 and never go back on the way.
-    // Order: the fleet has 9, the service shows 7, answers are late, a process starts anew.
+    // A starting process immediately reads version 7 from a stale service, while most of its peers' notices
+    // of version 9 arrive up to five seconds later. It must end with 9, and its version must never decrease.
     bundle_simulation world(23);
     world.publish(test_bundle(9));
     world.run(15s);
@@ -487,9 +471,8 @@
 
 FAULT_CELL(bundle_read, message_doubled)
 {
-    // Every answer to a starting process comes twice while the service is stale. It must wait for its peers
-    // all the same, and never serve by the service's 7. Order: the fleet has 9, the service shows 7, answers
-    // come twice, a process starts anew.
+    // Every reply to a starting process is duplicated while the service is stale. The duplicates must not
+    // count as replies of further peers, so that the service's version 7 is never adopted instead of 9.
     bundle_simulation world(24);
     world.publish(test_bundle(9));
     world.run(15s);
@@ -502,8 +485,8 @@
 
 FAULT_CELL(bundle_read, paused_wakes_late)
 {
-    // A process is paused in the middle of its start and wakes when the fleet has gone from 8 to 9. What it
-    // was told before it slept must not be put in force for good. Order: start, pause, new bundle, wake.
+    // A process is paused during its start and resumes after the fleet went from version 8 to 9. Notices
+    // received before the pause must not leave it at 8.
     bundle_simulation world(25);
     world.publish(test_bundle(8));
     world.run(15s);
@@ -520,8 +503,8 @@
 
 FAULT_CELL(bundle_read, same_twice)
 {
-    // The whole fleet but one process restarts, and a minute later again, with a stale service. The one that
-    // stayed carries the bundle through both; nobody ever serves by the older one.
+    // All processes but one restart, twice, while the service is stale. The remaining process must provide
+    // version 9 both times, and no process may serve with version 7.
     bundle_simulation world(26);
     world.publish(test_bundle(9));
     world.run(15s);
@@ -541,9 +524,8 @@
 
 FAULT_CELL(bundle_spread, config_stale)
 {
-    // Operators push 9 while the service shows 7 and goes on showing it. Every process goes by 9, and says
-    // that the service is stale. Order: push to one process, spread by its peers, the service read again and
-    // again.
+    // An operator pushes version 9 while the service keeps returning 7. Every process must adopt 9, keep it
+    // over repeated reads of the service, and report that the service is stale.
     bundle_simulation world(27);
     world.publish(test_bundle(7));
     world.run(15s);
@@ -561,7 +543,8 @@
 
 FAULT_CELL(bundle_spread, message_late)
 {
-    // A change is in force everywhere within eleven seconds although every second message takes up to five.
+    // Half of all messages are delayed by up to five seconds. A change must still be in force everywhere
+    // within 11 seconds.
     bundle_simulation world(28, {.late = 0.5});
     world.publish(test_bundle(7));
     world.run(30s);
@@ -572,8 +555,8 @@
 
 FAULT_CELL(bundle_spread, message_doubled)
 {
-    // Every message of a change comes twice. It is fetched and adopted once: what a process has, it doesn't
-    // ask for again, or 320 changes a day would be read twice by all.
+    // Every message of a change is duplicated. A process must not fetch sections again that it already has;
+    // at 320 changes per day the traffic of all processes would double.
     bundle_simulation once(29);
     bundle_simulation twice(29, {.duplicate = 1.0});
     for (auto* world : {&once, &twice}) {
--- a/tests/bundle/bundle_schedule_test.cpp
+++ b/tests/bundle/bundle_schedule_test.cpp
@@ -11,7 +11,7 @@
 constexpr std::uint64_t seeds = 60;
 constexpr int steps = 40;
 
-// Draws publications, a stale or dead service, pauses, restarts and partitions.
+// Random schedule of publications, a stale or unavailable service, pauses, restarts and partitions.
 class bundle_schedule
 {
 public:
@@ -33,7 +33,7 @@
         heal();
         world_.run(30s, [this] { check(); });
         if (!violation_ && !world_.all_have(highest_)) {
-            violation_ = "not everywhere after the faults ended";
+            violation_ = "the newest bundle did not reach all processes after the faults ended";
         }
         return violation_;
     }
@@ -64,7 +64,8 @@
         }
     }
 
-    // One at a time, and only while a peer that has what it had can be reached: that is the promise.
+    // Restarts one process at a time, and only while a reachable peer has at least the same version; the
+    // guarantee covers only this case.
     void restart(std::size_t at)
     {
         bool other_has = false;
@@ -74,7 +75,7 @@
         }
         if (other_has && !world_.paused[at]) {
             world_.start(at);
-            // Until it is ready again, its peers stay reachable.
+            // Keeps its peers reachable until it is ready again.
             world_.run(8s, [this] { check(); });
         }
     }
@@ -93,7 +94,7 @@
         for (std::size_t at = 0; at < bundle_simulation::size; ++at) {
             const auto version = world_.version(at);
             if (version != 0 && version < last_version_[at]) {
-                violation_ = "process " + std::to_string(at) + " went back from " +
+                violation_ = "process " + std::to_string(at) + " reverted from version " +
                              std::to_string(last_version_[at]) + " to " + std::to_string(version);
             }
             last_version_[at] = std::max(last_version_[at], version);
--- a/tests/bundle/bundle_simulation.h
+++ b/tests/bundle/bundle_simulation.h
@@ -12,7 +12,7 @@
 
 namespace dragonflymill::test {
 
-/// A message between two keepers of a schedule test.
+/// A message between two simulated bundle managers.
 struct bundle_message
 {
     enum class kind_type
@@ -32,7 +32,7 @@
     std::string text;
 };
 
-/// Up to five keepers, a configuration service that may be down or stale, and a bag of messages.
+/// Simulates four bundle managers, a configuration service that may be down or stale, and a lossy network.
 class bundle_simulation
 {
 public:
@@ -54,7 +54,7 @@
         return failure_domain_id("d" + std::to_string(at % 3));
     }
 
-    /// Starts the process anew, with an empty memory.
+    /// Restarts the process without state.
     void start(std::size_t at)
     {
         bundle_manager_settings settings;
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Publishes a bundle: the service has it from now on.
+    /// Publishes a bundle at the configuration service.
     void publish(const bundle& value)
     {
         service_manifest = encode_signed_manifest(test_signed(value));
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Lets time pass; `each_tick` runs after each step.
+    /// Advances time; calls `each_tick` after each step.
     template <typename Check>
     void run(duration time, Check each_tick)
     {
@@ -95,7 +95,7 @@
         run(time, [] {});
     }
 
-    /// Whether two processes can talk to each other.
+    /// Whether two processes can reach each other.
     [[nodiscard]] auto connected(std::size_t a, std::size_t b) const -> bool
     {
         return partition[a] == partition[b];
--- a/tests/bundle/sample_bundle.h
+++ b/tests/bundle/sample_bundle.h
@@ -4,7 +4,7 @@
 
 namespace dragonflymill {
 
-/// Source text of a small bundle without mistakes.
+/// Source text of a small valid bundle.
 inline auto sample_bundle_text(const std::string& version = "7") -> std::string
 {
     return "[bundle]\nversion = " + version + R"(
--- a/tests/bundle/signed_bundle_test.cpp
+++ b/tests/bundle/signed_bundle_test.cpp
@@ -20,41 +20,41 @@
 
 Test(signed_bundle, requires_both_signatures)
 {
-    const auto whole = test_signed(test_bundle(7));
-    cr_assert(verify_manifest(whole, test_partners()).has_value());
+    const auto fully_signed = test_signed(test_bundle(7));
+    cr_assert(verify_manifest(fully_signed, test_partners()).has_value());
     for (const std::size_t missing : {0U, 1U}) {
-        auto half = whole;
-        half.signatures.erase(half.signatures.begin() + static_cast<std::ptrdiff_t>(missing));
-        cr_assert(verify_manifest(half, test_partners()).has_error());
+        auto half_signed = fully_signed;
+        half_signed.signatures.erase(half_signed.signatures.begin() + static_cast<std::ptrdiff_t>(missing));
+        cr_assert(verify_manifest(half_signed, test_partners()).has_error());
     }
-    auto twice = whole;
+    auto twice = fully_signed;
     twice.signatures[1].signature = twice.signatures[0].signature;
     cr_assert(verify_manifest(twice, test_partners()).has_error());
     twice.signatures[1] = twice.signatures[0];
     cr_assert(verify_manifest(twice, test_partners()).has_error());
-    auto changed = whole;
+    auto changed = fully_signed;
     changed.manifest.version = bundle_version(8);
     cr_assert(verify_manifest(changed, test_partners()).has_error());
-    cr_assert(verify_manifest(whole, test_partners('x')).has_error());
+    cr_assert(verify_manifest(fully_signed, test_partners('x')).has_error());
 }
 
 Test(signed_bundle, manifest_round_trips_and_sections_match_it)
 {
     const auto value = test_bundle(7);
-    const auto whole = test_signed(value);
-    cr_assert(decode_signed_manifest(encode_signed_manifest(whole)).value() == whole);
-    cr_assert(assemble_bundle(whole.manifest, section_texts(value)).value() == value);
+    const auto fully_signed = test_signed(value);
+    cr_assert(decode_signed_manifest(encode_signed_manifest(fully_signed)).value() == fully_signed);
+    cr_assert(assemble_bundle(fully_signed.manifest, section_texts(value)).value() == value);
     auto texts = section_texts(value);
     texts.back() += " ";
-    cr_assert(assemble_bundle(whole.manifest, texts).error().kind() == error_kind::corrupt);
+    cr_assert(assemble_bundle(fully_signed.manifest, texts).error().kind() == error_kind::corrupt);
 }
 
 Test(signed_bundle, accepts_a_key_change_signed_by_both_keys)
 {
     const auto change = change_key("cooperative", bundle_version(8), test_key('c'), test_key('d')).value();
     const auto value = test_bundle(8, 100, 'd');
-    const auto whole = test_signed(value, {change}, 'd');
-    cr_assert(verify_manifest(whole, test_partners()).value() == test_partners('d'));
+    const auto fully_signed = test_signed(value, {change}, 'd');
+    cr_assert(verify_manifest(fully_signed, test_partners()).value() == test_partners('d'));
     const auto later = test_signed(test_bundle(9, 100, 'd'), {change}, 'd');
     cr_assert(verify_manifest(later, test_partners()).has_value(), "settings with the old key");
     cr_assert(verify_manifest(later, test_partners('d')).has_value(), "already follows the new key");
@@ -64,7 +64,7 @@
     cr_assert(verify_manifest(test_signed(value, {}, 'd'), test_partners()).has_error());
     cr_assert(verify_manifest(test_signed(test_bundle(9)), test_partners('d')).has_error(),
               "old key is over");
-    cr_assert(decode_signed_manifest(encode_signed_manifest(whole)).value() == whole);
+    cr_assert(decode_signed_manifest(encode_signed_manifest(fully_signed)).value() == fully_signed);
 }
 
 Test(signed_bundle, rejects_corrupted_manifests_without_crashing)
@@ -87,9 +87,8 @@
 
 FAULT_CELL(bundle_verify, message_reordered)
 {
-    // A user sees nothing: sections of two bundles arrive mixed up at a process that fetches both.
-    // Order: the section of version 8 comes where that of version 7 was asked for.
-    // Cause: fetches overlap and answers overtake each other; only the digest says what a text is.
+    // Overlapping fetches deliver a section of another bundle in place of the requested one. It must be
+    // rejected by its digest, and a missing section as well.
     const auto value = test_bundle(7);
     const auto manifest = manifest_of(value);
     auto texts = section_texts(value);
--- a/tests/bundle/signing.h
+++ b/tests/bundle/signing.h
@@ -8,20 +8,21 @@
 
 namespace dragonflymill {
 
-/// The same key for the same letter, in every run.
+/// Deterministic key derived from `letter`.
 inline auto test_key(char letter) -> ed25519_private_key
 {
     return ed25519_private_key::from_seed(std::string(32, letter)).value();
 }
 
-/// The two partners with the keys of the letters `c` and `b`.
+/// The two partners with the keys derived from the given letters.
 inline auto test_partners(char cooperative = 'c', char birchlog = 'b') -> std::vector<partner_entry>
 {
     return {{"birchlog", test_key(birchlog).public_key()},
             {"cooperative", test_key(cooperative).public_key()}};
 }
 
-/// The sample bundle with the partners' test keys; `note` makes two bundles of one version differ.
+/// The sample bundle with the partners' test keys; different values of `note` yield different bundles of one
+/// version.
 inline auto test_bundle(std::uint64_t version, std::uint32_t note = 100, char cooperative = 'c') -> bundle
 {
     auto value = parse_bundle_source(sample_bundle_text(std::to_string(version))).value();
--- a/tests/control/control_fault_test.cpp
+++ b/tests/control/control_fault_test.cpp
@@ -9,7 +9,7 @@
 constexpr std::size_t fleet_size = 9;
 const failure_domain_id domain_a("a");
 
-// A fleet that has found itself and has version 7 in force.
+// A fleet with complete membership and version 7 in force.
 auto settled_fleet(double drop = 0, std::uint64_t seed = 1) -> core_fleet
 {
     core_fleet world(fleet_size, drop, seed);
@@ -36,9 +36,8 @@
 
 FAULT_CELL(bundle_spread, partition)
 {
-    // Operators see a change reach a failure domain as soon as it can be reached again.
-    // Order: a failure domain is cut off, versions 8 and 9 spread among the others, the way opens.
-    // Cause: a switch fails; the words on every datagram bring the newest version, and 8 is never fetched.
+    // A switch failure partitions a failure domain while versions 8 and 9 are replicated among the others.
+    // Once reachable again, it must learn the newest version from the notice in every datagram and adopt 9.
     auto world = settled_fleet();
     partition_domain(world, 1);
     world.push(0, test_bundle(8));
@@ -53,9 +52,8 @@
 
 FAULT_CELL(bundle_spread, process_dies)
 {
-    // Operators see a change arrive everywhere although the process that they pushed it to dies at once.
-    // Order: it tells a few, dies; those have fetched from it and tell the others.
-    // Cause: hosts fail at any moment, also just after a push was answered.
+    // The process that received an operator's push dies immediately afterwards. Peers that fetched the bundle
+    // from it must replicate it to the others.
     auto world = settled_fleet();
     world.push(0, test_bundle(8));
     world.paused[0] = true;
@@ -67,10 +65,8 @@
 
 FAULT_CELL(bundle_spread, two_faults)
 {
-    // Operators see no older bundle anywhere when a failure domain restarts on a lossy network.
-    // Order: version 8 is in force; a third of the fleet restarts at once while a third of all datagrams are
-    // lost. Cause: a rack is power-cycled as a link goes bad; starting processes ask until peers have
-    // answered.
+    // A third of the fleet restarts at once while a third of all datagrams is lost. Starting processes must
+    // repeat their queries until peers have replied, and must not adopt an older bundle.
     auto world = settled_fleet(0.33, 3);
     world.push(4, test_bundle(8));
     world.run(11s);
@@ -88,9 +84,8 @@
 
 FAULT_CELL(bundle_adopt, process_dies)
 {
-    // Operators see a replaced process with the bundle that was in force, not with an older one.
-    // Order: a process dies and starts with nothing; two peers lag behind with 7, the others have 8.
-    // Cause: who answers first may lag; all that were asked are waited for, as long as patience lasts.
+    // A process restarts without state while two peers lag at version 7 and the others have 8. The lagging
+    // peers may reply first; the process must wait for all queried peers and adopt 8.
     auto world = settled_fleet();
     world.paused[1] = true;
     world.paused[2] = true;
@@ -105,9 +100,8 @@
 
 FAULT_CELL(drain_leave, message_lost)
 {
-    // Operators see a failure domain take no new work within seconds on a network that loses a third.
-    // Order: the word is told to four at once; those tell others; later datagrams repeat it.
-    // Cause: datagrams are lost; every datagram carries a word again.
+    // A third of all datagrams is lost while a failure domain is drained. The notice is sent to four
+    // processes, relayed and repeated on later datagrams, so it must reach every process within seconds.
     auto world = settled_fleet(0.33, 5);
     world.drain(3, domain_a, true);
     world.run(3s);
@@ -116,9 +110,8 @@
 
 FAULT_CELL(drain_leave, partition)
 {
-    // Operators see the word hold on their side at once, and on the other as soon as it can be reached.
-    // Order: a failure domain is cut off, the word is given, the way opens.
-    // Cause: a switch fails just when it matters; words are kept and repeated.
+    // A failure domain is partitioned when a drain is requested. The drain must apply at once on the
+    // requesting side, and on the other side once it is reachable, because notices are kept and repeated.
     auto world = settled_fleet();
     partition_domain(world, 2);
     world.drain(0, domain_a, true);
@@ -131,9 +124,8 @@
 
 FAULT_CELL(drain_leave, process_dies)
 {
-    // Operators see a replaced process respect a drain that was given before it started.
-    // Order: the word is given, a process restarts with nothing and hears it from its peers.
-    // Cause: 390 restarts a day; nothing is kept over a restart.
+    // A process restarts without state after a drain was requested. It must learn of the drain from its
+    // peers; at 390 restarts per day this is common.
     auto world = settled_fleet();
     world.drain(0, domain_a, true);
     world.run(3s);
@@ -144,9 +136,8 @@
 
 FAULT_CELL(drain_leave, paused_wakes_late)
 {
-    // Operators see a process that slept through a drain learn of it within seconds of waking.
-    // Order: a process is paused, the word is given, it wakes with what it knew before.
-    // Cause: hosts pause processes; the first answers to its pings repeat the word.
+    // A process is paused while a drain is requested and resumes with outdated state. The first replies to
+    // its pings must carry the notice, so that it applies the drain within seconds.
     auto world = settled_fleet();
     world.paused[5] = true;
     world.drain(0, domain_a, true);
@@ -159,9 +150,8 @@
 
 FAULT_CELL(drain_return, partition)
 {
-    // Operators see a failure domain stay out where the word to return has not arrived, and only there.
-    // Order: out everywhere, a part is cut off, "back" is given; the way opens and the newer word wins.
-    // Cause: words carry numbers; a part that kept the old one can't put it back.
+    // A drained failure domain is returned to service while some processes are partitioned. They must keep
+    // the drain until they are reachable; then the notice with the higher number must win on both sides.
     auto world = settled_fleet();
     world.drain(0, domain_a, true);
     world.run(3s);
@@ -176,9 +166,8 @@
 
 FAULT_CELL(drain_return, two_faults)
 {
-    // Operators see the failure domain out when two of them say "back" and "out" at the same time.
-    // Order: a part is cut off, one says "back" there, another says "out" here; both words get one number.
-    // Cause: nobody counts for both; of two words of one number the safe one holds, everywhere.
+    // During a partition one operator returns a failure domain to service and another one drains it, and both
+    // notices get the same number. The safe one, the drain, must win everywhere.
     auto world = settled_fleet();
     world.drain(0, domain_a, true);
     world.run(3s);
--- a/tests/control/control_plane_test.cpp
+++ b/tests/control/control_plane_test.cpp
@@ -44,7 +44,7 @@
     return control::peer_client(5s).push(to.plane->self().peer_address, pushed(value));
 }
 
-// The first push is refused until the process knows that nobody has a bundle.
+// Pushes are rejected until the process knows that no peer has a bundle.
 auto push_until_accepted(const planes& started, const bundle& value) -> bool
 {
     return eventually([&] { return push_result(*started.front(), value).has_value(); });
@@ -92,7 +92,7 @@
     cr_assert(client.drain(address, forged).has_error());
     const auto word = control::seal_drain(right, domain, false, runtime::wall_now());
     cr_assert(client.drain(address, word).has_value());
-    cr_assert(client.drain(address, word).has_error(), "played back");
+    cr_assert(client.drain(address, word).has_error(), "replayed request");
     const auto drained = [&](const plane_fixture& each) {
         return !control::accepts_new_work(*each.snapshot(), domain, host_id("h"));
     };
@@ -128,9 +128,9 @@
 
 FAULT_CELL_MORE(bundle_read, config_down, sockets)
 {
-    // Operators see processes take over what the service has once it answers, and go on without it.
-    // Order: the service is down when they start, comes up with version 7, goes down; a fourth process
-    // starts. Cause: the service may be down for long; the fourth gets the bundle from its peers.
+    // The service is down when three processes start, returns version 7 once it is up, and goes down again.
+    // The processes must adopt 7 when the service replies, and a fourth process that starts later must get it
+    // from its peers.
     standins::config_standin service({});
     static std::uint16_t port = 0;
     port = service.port();
@@ -155,6 +155,6 @@
     cr_assert(post("/_fault", R"({"down":false})") == 200);
     cr_assert(eventually([&] { return all(started, [](const auto& each) { return each.version() == 7; }); }));
     cr_assert(post("/_fault", R"({"down":true})") == 200);
-    const plane_fixture late(3, {seed}, with_service);
-    cr_assert(eventually([&] { return late.version() == 7; }));
+    const plane_fixture late_starter(3, {seed}, with_service);
+    cr_assert(eventually([&] { return late_starter.version() == 7; }));
 }
--- a/tests/control/core_fleet.h
+++ b/tests/control/core_fleet.h
@@ -10,7 +10,7 @@
 
 namespace dragonflymill::test {
 
-/// Settings of process `number` of a fleet whose addresses are the numbers.
+/// Settings of process `number`; the number is also its gossip address.
 inline auto core_options(std::size_t number) -> control::control_core_options
 {
     control::control_core_options options;
@@ -28,7 +28,7 @@
     return options;
 }
 
-/// Some processes' control planes without sockets: what is sent arrives at once, or not at all.
+/// Control cores of a fleet without sockets: a datagram is delivered immediately or lost.
 class core_fleet
 {
 public:
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Starts a process anew, with an empty memory.
+    /// Restarts a process without state, with incarnation `number`.
     void start(std::size_t at, std::uint64_t number)
     {
         auto options = core_options(at);
@@ -52,7 +52,7 @@
         cores[at].emplace(control::control_core::create(options, at + number, now).value());
     }
 
-    /// Lets time pass; `each_tick` runs after each step.
+    /// Advances time; calls `each_tick` after each step.
     template <typename Check>
     void run(duration time, Check each_tick)
     {
@@ -70,7 +70,7 @@
         run(time, [] {});
     }
 
-    /// Gives a bundle to one process as an operator does.
+    /// Pushes a bundle to one process, as an operator does.
     void push(std::size_t at, const bundle& value)
     {
         const bundle_origin origin{bundle_origin_kind::operator_push, {}};
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Takes a failure domain out, or back, at one process as an operator does.
+    /// Drains a failure domain at one process, or returns it to service, as an operator does.
     void drain(std::size_t at, const failure_domain_id& domain, bool out)
     {
         carry_out(at, cores[at]->operator_drain(now, domain, out));
@@ -101,7 +101,7 @@
         }
         return true;
     }
-    /// Processes that hold a failure domain for out of service.
+    /// Number of processes that consider a failure domain drained.
     [[nodiscard]] auto drained_at(const failure_domain_id& domain) const -> std::size_t
     {
         std::size_t count = 0;
--- a/tests/control/peer_client_test.cpp
+++ b/tests/control/peer_client_test.cpp
@@ -14,9 +14,9 @@
 
 FAULT_CELL(process_stop, connection_silent)
 {
-    // Operators see a process crash at the end of a planned stop. It had asked a peer for the bundle; the
-    // peer's host accepts and stays silent. The process takes its control plane down, and then the call's end
-    // comes on the transport's thread and reaches into what is gone.
+    // The client is destroyed during a planned stop while a fetch from a peer that accepts connections but
+    // never replies is pending. The call's completion on a gRPC thread must not run after the destruction and
+    // access freed memory.
     boost::asio::io_context context;
     const boost::asio::ip::tcp::endpoint any(boost::asio::ip::address_v4::loopback(), 0);
     const boost::asio::ip::tcp::acceptor silent(context, any);
--- a/tests/control/plane_fixture.h
+++ b/tests/control/plane_fixture.h
@@ -13,7 +13,7 @@
 
 namespace dragonflymill::test {
 
-/// A control plane with real sockets on 127.0.0.1, whose last snapshot can be read.
+/// A control plane with real sockets on 127.0.0.1 that stores its last snapshot.
 class plane_fixture
 {
 public:
@@ -71,7 +71,7 @@
     std::shared_ptr<const control::control_snapshot> snapshot_;
 };
 
-/// Waits, up to a bound far beyond what is ever needed, until `condition()` is true.
+/// Waits until `condition()` is true; returns false after a generous timeout.
 template <typename Condition>
 [[nodiscard]] auto eventually(Condition condition) -> bool
 {
@@ -85,7 +85,7 @@
     return false;
 }
 
-/// A bundle as an operator pushes it.
+/// A signed bundle, as pushed by an operator.
 inline auto pushed(const bundle& value) -> control::pushed_bundle
 {
     return {encode_signed_manifest(test_signed(value)), section_texts(value)};
