--- a/src/bundle/bundle_manager_report.cpp
+++ b/src/bundle/bundle_manager_report.cpp
@@ -4,18 +4,18 @@
 
 #include <algorithm>
 
-// What a bundle keeper says of bundles that it does not take, and of what operators must look at.
+// Rejections and alarms of `bundle_manager`.
 
 namespace dragonflymill {
 
 namespace {
 
-constexpr std::size_t max_remembered = 16;
+constexpr std::size_t max_list_entries = 16;
 
 template <typename T>
-void remember(std::vector<T>& list, T item)
+void append_bounded(std::vector<T>& list, T item)
 {
-    if (list.size() >= max_remembered) {
+    if (list.size() >= max_list_entries) {
         list.erase(list.begin());
     }
     list.push_back(std::move(item));
@@ -26,17 +26,17 @@
 void bundle_manager::reject(const bundle_origin& origin, error why, bundle_manager_outputs& outputs)
 {
     reject_bundle rejection{origin, std::move(why)};
-    remember(rejections_, rejection);
+    append_bounded(rejections_, rejection);
     ++rejected_count_;
     outputs.push_back(std::move(rejection));
 }
 
-// Signatures are not part of a bundle's name: a half-signed copy is refused, while a whole one from another
-// source is still welcome.
+// A bundle's digest does not cover the signatures, so only this source is excluded: a fully signed copy from
+// another source is still accepted.
 void bundle_manager::reject_offer(instant now, const bundle_notice& word, const bundle_origin& origin,
                                   error why, bundle_manager_outputs& outputs)
 {
-    remember(bad_offers_, {word, origin});
+    append_bounded(bad_offers_, {word, origin});
     reject(origin, std::move(why), outputs);
     boot_.remove(origin.peer);
     if (pending_ && pending_->word == word && !pending_->manifest) {
@@ -45,11 +45,11 @@
     }
 }
 
-// A bad bundle is refused whole and not fetched again, however many peers offer it; the old one stays.
+// Rejects an invalid bundle permanently: it is not fetched again from any source. The one in force stays.
 void bundle_manager::reject_for_good(const bundle_notice& word, const bundle_origin& origin, error why,
                                      bundle_manager_outputs& outputs)
 {
-    remember(bad_, word);
+    append_bounded(bad_, word);
     boot_.forget(word);
     reject(origin, std::move(why), outputs);
     if (pending_ && pending_->word == word) {
@@ -65,7 +65,7 @@
     if (!conflict || std::find(conflicts_.begin(), conflicts_.end(), other) != conflicts_.end()) {
         return;
     }
-    remember(conflicts_, other);
+    append_bounded(conflicts_, other);
     outputs.push_back(bundle_alarm{bundle_alarm::kind_type::two_of_one_version,
                                    "two bundles of " + text_of_version(other) + ": " +
                                        in_force_->word.digest.hex() + " here, " + other.digest.hex() +
--- a/src/control/control_core.cpp
+++ b/src/control/control_core.cpp
@@ -12,12 +12,12 @@
 namespace {
 
 constexpr std::size_t max_alarms = 16;
-constexpr duration boot_ask_interval = 500ms;
-constexpr std::size_t boot_peers = 8;
-// Peers of later rounds are asked too, but not waited for.
+constexpr duration boot_query_interval = 500ms;
+constexpr std::size_t boot_query_peers = 8;
+// The replies of peers queried in later rounds are used but not awaited.
 constexpr std::uint32_t awaited_boot_rounds = 2;
 
-void log_change(const member_update& update)
+void log_member_change(const member_update& update)
 {
     const auto id = field("member", update.info.id);
     switch (update.state) {
@@ -159,8 +159,9 @@
     return out;
 }
 
-// Few processes watch, so that the fleet's calls stay far below the service's budget however large it grows.
-// Each works out for itself whether it is one of them; views that differ for a moment cost a call or two.
+// Only `watchers` processes watch, so the number of calls stays far below the service's budget regardless of
+// the fleet's size. Each process elects the watchers by rendezvous hashing; temporarily different membership
+// views cost only a few extra calls.
 auto control_core::watches(instant now, wall_instant wall) const -> bool
 {
     if (membership_.isolated(now)) {
@@ -168,13 +169,13 @@
     }
     const auto slot = static_cast<std::uint64_t>(wall.time_since_epoch() / options_.watch_slot);
     const auto own = rendezvous_score(slot, membership_.self().info.id.text());
-    std::uint32_t better = 0;
+    std::uint32_t higher_scores = 0;
     for (const auto& [id, record] : membership_.table().records()) {
         if (record.update.state == member_state::alive && rendezvous_score(slot, id.text()) > own) {
-            ++better;
+            ++higher_scores;
         }
     }
-    return better < options_.watchers;
+    return higher_scores < options_.watchers;
 }
 
 auto control_core::nobody_to_ask() const -> bool
@@ -253,14 +254,14 @@
 void control_core::send(const send_datagram& sent, control_outputs& out)
 {
     auto bytes = seal_.seal(encode_datagram(sent.message));
-    DRAGONFLYMILL_ASSERT(bytes.size() <= max_datagram_bytes, "a datagram fits one frame");
+    DRAGONFLYMILL_ASSERT(bytes.size() <= max_datagram_bytes, "a sealed datagram must not exceed max_datagram_bytes");
     out.emplace_back(send_bytes{sent.address, std::move(bytes)});
 }
 
 void control_core::note_member(instant now, const member_update& update)
 {
     changed_ = true;
-    log_change(update);
+    log_member_change(update);
     drains_.process_heard(now, update.info.host, update.number.start, update.state == member_state::leaving);
 }
 
@@ -316,8 +317,8 @@
     if (keeper_.in_force() != nullptr || now < next_boot_ask_ || membership_.table().live_count() == 0) {
         return;
     }
-    next_boot_ask_ = now + boot_ask_interval;
-    for (const auto& output : membership_.ask_peers(boot_peers)) {
+    next_boot_ask_ = now + boot_query_interval;
+    for (const auto& output : membership_.ask_peers(boot_query_peers)) {
         const auto* sent = std::get_if<send_datagram>(&output);
         if (sent == nullptr) {
             continue;
--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -45,7 +45,7 @@
         builder.RegisterService(&service_);
         server_ = builder.BuildAndStart();
         if (server_ == nullptr || peer_port == 0) {
-            return error(error_kind::unavailable, "can't listen on " + options_.peer_listen,
+            return error(error_kind::unavailable, "can't listen for peers on " + options_.peer_listen,
                          "free the address or change control.peer_listen");
         }
         self.peer_address = ip + ":" + std::to_string(peer_port);
@@ -73,7 +73,7 @@
     void stop()
     {
         if (server_ != nullptr) {
-            // Calls that wait for the control thread are cut off before it ends, or they would wait for ever.
+            // Cancels pending calls before the control thread ends; they would otherwise wait for it forever.
             server_->Shutdown(std::chrono::system_clock::now() + std::chrono::milliseconds(200));
         }
         thread_.stop();
@@ -81,17 +81,18 @@
 
     void leave()
     {
-        on_thread([this] { loop_->leave(); });
+        post_to_thread([this] { loop_->leave(); });
     }
 
     void push(pushed_bundle bundle, peer_answer done)
     {
-        on_thread([this, bundle = std::move(bundle), done = std::move(done)] { loop_->push(bundle, done); });
+        post_to_thread(
+            [this, bundle = std::move(bundle), done = std::move(done)] { loop_->push(bundle, done); });
     }
 
     void drain(drain_subject subject, bool out)
     {
-        on_thread([this, subject = std::move(subject), out] { loop_->drain(subject, out); });
+        post_to_thread([this, subject = std::move(subject), out] { loop_->drain(subject, out); });
     }
 
     void ask(ask_shares asked, share_answer done)
@@ -100,7 +101,7 @@
             done(handlers_.on_shares_asked(asked.requests));
             return;
         }
-        on_thread([this, asked = std::move(asked), done = std::move(done)] { loop_->ask(asked, done); });
+        post_to_thread([this, asked = std::move(asked), done = std::move(done)] { loop_->ask(asked, done); });
     }
 
     [[nodiscard]] auto self() const -> const member_info& { return options_.core.membership.self; }
@@ -109,24 +110,25 @@
 private:
     auto service_handlers() -> peer_service_handlers
     {
-        peer_service_handlers made;
-        made.on_push = [this](pushed_bundle bundle, peer_answer done) {
+        peer_service_handlers handlers;
+        handlers.on_push = [this](pushed_bundle bundle, peer_answer done) {
             push(std::move(bundle), std::move(done));
         };
-        made.on_drain = [this](sealed_drain word, peer_answer done) {
-            on_thread([this, word = std::move(word), done = std::move(done)] { loop_->drain(word, done); });
+        handlers.on_drain = [this](sealed_drain word, peer_answer done) {
+            post_to_thread(
+                [this, word = std::move(word), done = std::move(done)] { loop_->drain(word, done); });
         };
-        made.on_shares_asked = handlers_.on_shares_asked;
-        return made;
+        handlers.on_shares_asked = handlers_.on_shares_asked;
+        return handlers;
     }
 
     template <typename Task>
-    void on_thread(Task task)
+    void post_to_thread(Task task)
     {
         boost::asio::post(thread_.context(), std::move(task));
     }
 
-    // Two processes must not draw the same: name, start and address differ.
+    // Derived from name, address and incarnation, so that each process gets a different seed.
     auto random_seed() const -> std::uint64_t
     {
         const auto& membership = options_.core.membership;
--- a/tests/control/control_plane_test.cpp
+++ b/tests/control/control_plane_test.cpp
@@ -33,7 +33,7 @@
     return std::all_of(started.begin(), started.end(), [&](const auto& each) { return condition(*each); });
 }
 
-auto knows_two(const plane_fixture& each) -> bool
+auto knows_both_peers(const plane_fixture& each) -> bool
 {
     const auto seen = each.snapshot();
     return seen != nullptr && seen->members.size() == 2;
@@ -44,19 +44,19 @@
     return control::peer_client(5s).push(to.plane->self().peer_address, pushed(value));
 }
 
-// The first push is refused until the process knows that nobody has a bundle.
-auto push_until_taken(const planes& started, const bundle& value) -> bool
+// Pushes are rejected until the process knows that no peer has a bundle.
+auto push_until_accepted(const planes& started, const bundle& value) -> bool
 {
     return eventually([&] { return push_result(*started.front(), value).has_value(); });
 }
 
 } // namespace
 
-Test(control_plane, processes_find_each_other_and_a_pushed_bundle_spreads)
+Test(control_plane, processes_discover_each_other_and_replicate_a_pushed_bundle)
 {
     const auto started = start_three();
-    cr_assert(eventually([&] { return all(started, knows_two); }));
-    cr_assert(push_until_taken(started, test_bundle(7)));
+    cr_assert(eventually([&] { return all(started, knows_both_peers); }));
+    cr_assert(push_until_accepted(started, test_bundle(7)));
     cr_assert(eventually([&] { return all(started, [](const auto& each) { return each.version() == 7; }); }));
     cr_assert(push_result(*started[1], test_bundle(8)).has_value());
     cr_assert(eventually([&] { return all(started, [](const auto& each) { return each.version() == 8; }); }));
@@ -66,10 +66,10 @@
     cr_assert(seen->gateways_expected == 3);
 }
 
-Test(control_plane, a_bad_push_is_refused_with_the_reason)
+Test(control_plane, rejects_an_invalid_push_with_the_reason)
 {
     const auto started = start_three();
-    cr_assert(push_until_taken(started, test_bundle(7)));
+    cr_assert(push_until_accepted(started, test_bundle(7)));
     auto bad = test_bundle(8);
     bad.service_routes.front().upstreams.emplace_back("nobody");
     const auto refused = push_result(*started.front(), bad);
@@ -79,10 +79,10 @@
     cr_assert(started.front()->version() == 7);
 }
 
-Test(control_plane, an_operators_word_reaches_all_and_needs_the_key)
+Test(control_plane, operator_drain_reaches_all_processes_and_requires_the_key)
 {
     const auto started = start_three();
-    cr_assert(eventually([&] { return all(started, knows_two); }));
+    cr_assert(eventually([&] { return all(started, knows_both_peers); }));
     const control::peer_client client(5s);
     const auto address = started[1]->plane->self().peer_address;
     const failure_domain_id domain("a");
@@ -92,7 +92,7 @@
     cr_assert(client.drain(address, forged).has_error());
     const auto word = control::seal_drain(right, domain, false, runtime::wall_now());
     cr_assert(client.drain(address, word).has_value());
-    cr_assert(client.drain(address, word).has_error(), "played back");
+    cr_assert(client.drain(address, word).has_error(), "replayed request");
     const auto drained = [&](const plane_fixture& each) {
         return !control::accepts_new_work(*each.snapshot(), domain, host_id("h"));
     };
@@ -104,10 +104,10 @@
     }));
 }
 
-Test(control_plane, a_leaving_process_takes_no_new_work_anywhere)
+Test(control_plane, a_leaving_process_receives_no_new_work)
 {
     const auto started = start_three();
-    cr_assert(eventually([&] { return all(started, knows_two); }));
+    cr_assert(eventually([&] { return all(started, knows_both_peers); }));
     started[2]->plane->leave();
     cr_assert(eventually([&] {
         return !control::accepts_new_work(*started[0]->snapshot(), failure_domain_id("d2"), host_id("h2")) &&
@@ -115,7 +115,7 @@
     }));
 }
 
-Test(control_plane, processes_with_another_key_are_not_listened_to)
+Test(control_plane, ignores_datagrams_sealed_with_another_key)
 {
     const plane_fixture one(0);
     const plane_fixture other(1, {one.plane->self().gossip_address},
@@ -128,9 +128,9 @@
 
 FAULT_CELL_MORE(bundle_read, config_down, sockets)
 {
-    // Operators see processes take over what the service has once it answers, and go on without it.
-    // Order: the service is down when they start, comes up with version 7, goes down; a fourth process
-    // starts. Cause: the service may be down for long; the fourth gets the bundle from its peers.
+    // The service is down when three processes start, returns version 7 once it is up, and goes down again.
+    // The processes must adopt 7 when the service replies, and a fourth process that starts later must get it
+    // from its peers.
     standins::config_standin service({});
     static std::uint16_t port = 0;
     port = service.port();
@@ -155,6 +155,6 @@
     cr_assert(post("/_fault", R"({"down":false})") == 200);
     cr_assert(eventually([&] { return all(started, [](const auto& each) { return each.version() == 7; }); }));
     cr_assert(post("/_fault", R"({"down":true})") == 200);
-    const plane_fixture late(3, {seed}, with_service);
-    cr_assert(eventually([&] { return late.version() == 7; }));
+    const plane_fixture late_starter(3, {seed}, with_service);
+    cr_assert(eventually([&] { return late_starter.version() == 7; }));
 }
