--- a/src/app/admin_client.cpp
+++ b/src/app/admin_client.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-constexpr duration answer_timeout = 5s;
+constexpr duration response_timeout = 5s;
 constexpr unsigned first_failure_status = 300;
 
-auto unreachable(const socket_address& address, http::call_end end) -> error
+auto unreachable_error(const socket_address& address, http::call_end end) -> error
 {
     const bool sent = end != http::call_end::not_sent;
     return {error_kind::unavailable,
@@ -23,11 +23,11 @@
 }
 
 /// The process's own words for why it refused.
-auto refused(const http::http_response& response) -> error
+auto refusal_error(const http::http_response& response) -> error
 {
-    boost::system::error_code unreadable;
-    const auto body = boost::json::parse(response.body, unreadable);
-    const auto* const text = unreadable ? nullptr : body.find_pointer("/error/remedy", unreadable);
+    boost::system::error_code parse_error;
+    const auto body = boost::json::parse(response.body, parse_error);
+    const auto* const text = parse_error ? nullptr : body.find_pointer("/error/remedy", parse_error);
     const std::string why = text != nullptr && text->is_string()
                                 ? std::string(text->get_string())
                                 : "status " + std::to_string(response.status);
@@ -44,21 +44,21 @@
     }
     boost::asio::io_context context;
     http::call_limits limits;
-    limits.first_byte_timeout = answer_timeout;
+    limits.first_byte_timeout = response_timeout;
     auto end = http::call_end::broken;
     http::http_response response;
     const auto call = std::make_shared<http::http_call>(context, server.value(), limits);
-    call->start(std::move(request), runtime::now() + answer_timeout,
-                http::gather_answer([&](http::call_end how, const http::http_response& answer) {
-                    end = how;
-                    response = answer;
+    call->start(std::move(request), runtime::now() + response_timeout,
+                http::gather_answer([&](http::call_end outcome, const http::http_response& received) {
+                    end = outcome;
+                    response = received;
                 }));
     context.run();
     if (end != http::call_end::whole) {
-        return unreachable(address, end);
+        return unreachable_error(address, end);
     }
     if (response.status >= first_failure_status) {
-        return refused(response);
+        return refusal_error(response);
     }
     return response;
 }
--- a/src/app/command_bundle_check.cpp
+++ b/src/app/command_bundle_check.cpp
@@ -18,14 +18,14 @@
 
 auto check_source(const std::string& path, const std::string& text, command_io& io) -> exit_code
 {
-    const bundle_reading reading = read_bundle_source(text);
-    for (const source_mistake& mistake : reading.mistakes) {
+    const bundle_reading parsed = read_bundle_source(text);
+    for (const source_mistake& mistake : parsed.mistakes) {
         io.err << path << ": " << mistake.text() << '\n';
     }
-    if (!reading.mistakes.empty()) {
+    if (!parsed.mistakes.empty()) {
         return exit_code::invalid;
     }
-    write_summary(reading.value, io.out);
+    write_summary(parsed.value, io.out);
     return exit_code::success;
 }
 
--- a/src/app/command_bundle_key.cpp
+++ b/src/app/command_bundle_key.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-auto make_key(const std::string& path, command_io& io) -> exit_code
+auto generate_key(const std::string& path, command_io& io) -> exit_code
 {
     const auto key = ed25519_private_key::generate();
     if (key.has_error()) {
@@ -31,20 +31,20 @@
 auto run_bundle_key(const arguments& words, command_io& io) -> exit_code
 {
     std::vector<std::string> files;
-    bool fresh = false;
+    bool create_key = false;
     option_set options(
         "dragonflymill bundle key FILE [--new]",
         "Prints the public half of a partner's private key, for [partner NAME] public_key in the "
         "bundle and [bundle] partners in the settings.");
-    options.flag("new", "make a new key and write it to FILE first", fresh);
+    options.flag("new", "make a new key and write it to FILE first", create_key);
     options.positional("the key file", files, 1, 1);
     options.example("dragonflymill bundle key cooperative.pem --new", "makes a key pair");
     options.example("dragonflymill bundle key cooperative.pem", "prints its public half again");
     if (const auto done = options.parse(words, io)) {
         return *done;
     }
-    if (fresh) {
-        return make_key(files.front(), io);
+    if (create_key) {
+        return generate_key(files.front(), io);
     }
     const auto key = load_private_key(files.front());
     if (key.has_error()) {
--- a/src/app/command_bundle_push.cpp
+++ b/src/app/command_bundle_push.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t signatures_needed = 2;
+constexpr std::size_t required_signatures = 2;
 
 } // namespace
 
@@ -34,7 +34,7 @@
         return report(package.error(), io);
     }
     const std::size_t signatures = package.value().manifest.signatures.size();
-    if (signatures != signatures_needed) {
+    if (signatures != required_signatures) {
         return report(error(error_kind::unauthorized,
                             files.front() + " has " + std::to_string(signatures) + " of 2 signatures",
                             "let both partners sign it with `dragonflymill bundle sign`"),
@@ -42,9 +42,9 @@
     }
     const std::string body = encode_package(package.value());
     return for_each_target(targets, io, [&](const socket_address& target) -> result<void> {
-        const auto answer = call_admin(target, {"POST", "/admin/bundle", {}, body});
-        if (answer.has_error()) {
-            return answer.error();
+        const auto response = call_admin(target, {"POST", "/admin/bundle", {}, body});
+        if (response.has_error()) {
+            return response.error();
         }
         io.out << to_text(target) << ": taken\n";
         return success();
--- a/src/app/command_bundle_verify.cpp
+++ b/src/app/command_bundle_verify.cpp
@@ -26,18 +26,18 @@
 auto run_bundle_verify(const arguments& words, command_io& io) -> exit_code
 {
     std::vector<std::string> files;
-    std::vector<std::string> trusted_texts;
+    std::vector<std::string> trusted_words;
     option_set options("dragonflymill bundle verify FILE --trust NAME:KEY --trust NAME:KEY",
                        "Checks that a signed bundle is whole and signed by both trusted partners, as every "
                        "process does before it takes one over.");
-    options.texts("trust", "a partner and its public key; give both", trusted_texts);
+    options.texts("trust", "a partner and its public key; give both", trusted_words);
     options.positional("the signed bundle", files, 1, 1);
     options.example("dragonflymill bundle verify bundle.signed --trust cooperative:$C --trust birchlog:$B",
                     "exits with 0 only if both signed");
     if (const auto done = options.parse(words, io)) {
         return *done;
     }
-    const auto trusted = parse_partners(trusted_texts);
+    const auto trusted = parse_partners(trusted_words);
     if (trusted.has_error() || trusted.value().size() != 2) {
         io.err << "give --trust NAME:KEY for both partners; see --help\n";
         return exit_code::usage;
--- a/src/app/command_cordon.cpp
+++ b/src/app/command_cordon.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr duration answer_deadline = 5s;
+constexpr duration response_timeout = 5s;
 
 /// What the command line says.
 struct cordon_options
@@ -19,7 +19,7 @@
     std::string failure_domain;
     std::string host;
     std::string key_file;
-    bool back = false;
+    bool uncordon = false;
     std::vector<std::string> targets;
 };
 
@@ -46,15 +46,16 @@
     if (seal.has_error()) {
         return report(seal.error(), io);
     }
-    const auto word = control::seal_drain(seal.value(), subject_of(given), given.back, runtime::wall_now());
-    const control::peer_client client(answer_deadline);
+    const auto sealed_request =
+        control::seal_drain(seal.value(), subject_of(given), given.uncordon, runtime::wall_now());
+    const control::peer_client client(response_timeout);
     return for_each_target(given.targets, io, [&](const socket_address& target) -> result<void> {
-        const auto done = client.drain(to_text(target), word);
+        const auto done = client.drain(to_text(target), sealed_request);
         if (done.has_error()) {
             return error(done.error().kind(), to_text(target) + ": " + done.error().message(),
                          done.error().remedy());
         }
-        io.out << to_text(target) << ": " << (given.back ? "back in service" : "out of service") << '\n';
+        io.out << to_text(target) << ": " << (given.uncordon ? "back in service" : "out of service") << '\n';
         return success();
     });
 }
@@ -71,7 +72,7 @@
     options.text("failure-domain", "the failure domain", given.failure_domain);
     options.text("host", "the host", given.host);
     options.text("key-file", "the fleet's key, as in [control] key_file", given.key_file);
-    options.flag("back", "back into service", given.back);
+    options.flag("back", "back into service", given.uncordon);
     options.texts("to", "a process's [control] peer_listen", given.targets);
     options.example("dragonflymill cordon --failure-domain b --key-file control.key --to 127.0.0.1:7300",
                     "no new work goes to failure domain b");
--- a/src/app/command_daemon.cpp
+++ b/src/app/command_daemon.cpp
@@ -17,11 +17,11 @@
               const arguments& words, command_io& io) -> exit_code
 {
     std::string file;
-    bool only_check = false;
+    bool check_only = false;
     const std::string name = std::string("dragonflymill ") + role;
     option_set options(name + " --config FILE [--check]", std::string("Runs a ") + role + " until SIGTERM.");
     options.text("config", "the settings file; `dragonflymill settings` prints one to start from", file);
-    options.flag("check", "only check the settings file", only_check);
+    options.flag("check", "only check the settings file", check_only);
     options.example(name + " --config " + role + ".ini", "runs it");
     options.example(name + " --config " + role + ".ini --check", "names every mistake in the file");
     if (const auto done = options.parse(words, io)) {
@@ -39,7 +39,7 @@
     if (!mistakes.empty()) {
         return exit_code::invalid;
     }
-    if (only_check) {
+    if (check_only) {
         io.out << file << ": no mistakes\n";
         return exit_code::success;
     }
--- a/src/app/command_drain.cpp
+++ b/src/app/command_drain.cpp
@@ -18,9 +18,9 @@
         return *done;
     }
     return for_each_target(targets, io, [&](const socket_address& target) -> result<void> {
-        const auto answer = call_admin(target, {"POST", "/admin/drain", {}, ""});
-        if (answer.has_error()) {
-            return answer.error();
+        const auto response = call_admin(target, {"POST", "/admin/drain", {}, ""});
+        if (response.has_error()) {
+            return response.error();
         }
         io.out << to_text(target) << ": draining\n";
         return success();
--- a/src/app/command_settings.cpp
+++ b/src/app/command_settings.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-void write(const settings_schema& schema, bool markdown, std::ostream& out)
+void write_reference(const settings_schema& schema, bool markdown, std::ostream& out)
 {
     out << (markdown ? settings_tables(schema) : settings_template(schema));
 }
@@ -30,12 +30,12 @@
     }
     if (roles.front() == "gateway") {
         gateway_settings settings;
-        write(gateway_schema(settings), markdown, io.out);
+        write_reference(gateway_schema(settings), markdown, io.out);
         return exit_code::success;
     }
     if (roles.front() == "sidecar") {
         sidecar_settings settings;
-        write(sidecar_schema(settings), markdown, io.out);
+        write_reference(sidecar_schema(settings), markdown, io.out);
         return exit_code::success;
     }
     io.err << "'" << roles.front() << "' is not a role; write gateway or sidecar\n";
--- a/src/app/command_status.cpp
+++ b/src/app/command_status.cpp
@@ -21,15 +21,15 @@
         return *done;
     }
     return for_each_target(targets, io, [&](const socket_address& target) -> result<void> {
-        const auto answer = call_admin(target, {"GET", "/admin/status", {}, ""});
-        if (answer.has_error()) {
-            return answer.error();
+        const auto response = call_admin(target, {"GET", "/admin/status", {}, ""});
+        if (response.has_error()) {
+            return response.error();
         }
-        const auto status = parse_process_status(answer.value().body);
+        const auto status = parse_process_status(response.value().body);
         if (status.has_error()) {
             return status.error();
         }
-        io.out << (json ? answer.value().body : to_text(status.value()));
+        io.out << (json ? response.value().body : to_text(status.value()));
         return success();
     });
 }
--- a/src/app/command_timeline.cpp
+++ b/src/app/command_timeline.cpp
@@ -15,7 +15,7 @@
 
 /// Writes what `render` gives to `path`, unless that is empty.
 template <typename Render>
-auto write_if_named(const std::string& path, Render render) -> result<void>
+auto write_if_requested(const std::string& path, Render render) -> result<void>
 {
     if (path.empty()) {
         return success();
@@ -25,7 +25,7 @@
     return write_file(path, text.str());
 }
 
-void write_summary(const timeline_reading& reading, const merged_timeline& merged, std::size_t events,
+void write_summary(const timeline_reading& loaded, const merged_timeline& merged, std::size_t events,
                    std::ostream& out)
 {
     out << events << " events, " << merged.spans.size() << " requests at processes, "
@@ -38,11 +38,11 @@
         }
         out << '\n';
     }
-    if (reading.bad_lines > 0) {
-        out << reading.bad_lines << " lines are no events and were left out\n";
+    if (loaded.bad_lines > 0) {
+        out << loaded.bad_lines << " lines are no events and were left out\n";
     }
-    if (reading.left_out > 0) {
-        out << reading.left_out << " events over the bound were left out\n";
+    if (loaded.left_out > 0) {
+        out << loaded.left_out << " events over the bound were left out\n";
     }
 }
 
@@ -51,37 +51,38 @@
 auto run_timeline(const arguments& words, command_io& io) -> exit_code
 {
     std::vector<std::string> files;
-    std::string trace;
-    std::string picture;
+    std::string trace_path;
+    std::string page_path;
     option_set options("dragonflymill timeline FILE... [--out FILE] [--picture FILE]",
                        "Merges the time lines of many processes into one, with their clocks set against each "
                        "other.");
-    options.text("out", "trace-event JSON to write, for a trace viewer", trace);
-    options.text("picture", "HTML page to write, for any browser", picture);
+    options.text("out", "trace-event JSON to write, for a trace viewer", trace_path);
+    options.text("picture", "HTML page to write, for any browser", page_path);
     options.positional("a time line file", files, 1, 100'000);
     options.example("dragonflymill timeline gw-1.jsonl sc-*.jsonl --out trace.json --picture timeline.html",
                     "merges a gateway's time line with those of sidecars");
     if (const auto done = options.parse(words, io)) {
         return *done;
     }
-    auto reading = read_timeline_files(files);
-    if (reading.has_error()) {
-        return report(reading.error(), io);
+    auto loaded = read_timeline_files(files);
+    if (loaded.has_error()) {
+        return report(loaded.error(), io);
     }
-    if (reading.value().events.empty()) {
+    if (loaded.value().events.empty()) {
         return report(error(error_kind::invalid_input, "the files hold no events",
                             "give the files that [timeline] file names"),
                       io);
     }
-    const std::size_t events = reading.value().events.size();
-    const merged_timeline merged = merge_timelines(std::move(reading.value().events));
-    const auto traced = write_if_named(trace, [&](std::ostream& out) { write_trace_events(merged, out); });
-    const auto drawn =
-        write_if_named(picture, [&](std::ostream& out) { write_timeline_picture(merged, out); });
-    if (traced.has_error() || drawn.has_error()) {
-        return report(traced.has_error() ? traced.error() : drawn.error(), io);
+    const std::size_t events = loaded.value().events.size();
+    const merged_timeline merged = merge_timelines(std::move(loaded.value().events));
+    const auto trace_written =
+        write_if_requested(trace_path, [&](std::ostream& out) { write_trace_events(merged, out); });
+    const auto page_written =
+        write_if_requested(page_path, [&](std::ostream& out) { write_timeline_picture(merged, out); });
+    if (trace_written.has_error() || page_written.has_error()) {
+        return report(trace_written.has_error() ? trace_written.error() : page_written.error(), io);
     }
-    write_summary(reading.value(), merged, events, io.out);
+    write_summary(loaded.value(), merged, events, io.out);
     return exit_code::success;
 }
 
--- a/src/app/option_set.cpp
+++ b/src/app/option_set.cpp
@@ -19,20 +19,20 @@
 struct option_set::state
 {
     std::string usage;
-    std::string about;
+    std::string description;
     std::string examples;
-    po::options_description shown{"Options"};
+    po::options_description visible{"Options"};
     po::options_description hidden;
     po::positional_options_description positions;
     const char* positional_name = nullptr;
     const std::vector<std::string>* positional_target = nullptr;
-    std::size_t least = 0;
-    std::size_t most = 0;
+    std::size_t min_words = 0;
+    std::size_t max_words = 0;
     bool help = false;
 
     void write_help(std::ostream& out) const
     {
-        out << "Usage: " << usage << "\n\n" << about << "\n\n" << shown;
+        out << "Usage: " << usage << "\n\n" << description << "\n\n" << visible;
         if (!examples.empty()) {
             out << "\nExamples:\n" << examples;
         }
@@ -41,7 +41,7 @@
     void read(const arguments& words)
     {
         po::options_description all;
-        all.add(shown).add(hidden);
+        all.add(visible).add(hidden);
         po::variables_map found;
         const auto style = po::command_line_style::unix_style & ~po::command_line_style::allow_guessing;
         po::store(po::command_line_parser(words).options(all).positional(positions).style(style).run(),
@@ -50,13 +50,13 @@
     }
 
     /// What is wrong with the number of positional words; empty if nothing is.
-    [[nodiscard]] auto count_mistake() const -> std::string
+    [[nodiscard]] auto positional_count_error() const -> std::string
     {
         const std::size_t given = positional_target == nullptr ? 0 : positional_target->size();
-        if (given < least) {
+        if (given < min_words) {
             return std::string(positional_name) + " is missing";
         }
-        if (given > most) {
+        if (given > max_words) {
             return "there are too many words: '" + positional_target->back() + "'";
         }
         return {};
@@ -67,7 +67,7 @@
     : state_(std::make_unique<state>())
 {
     state_->usage = std::move(usage);
-    state_->about = std::move(about);
+    state_->description = std::move(about);
     flag("help", "show this help and exit", state_->help);
 }
 
@@ -75,17 +75,17 @@
 
 void option_set::flag(const char* name, const char* help, bool& target)
 {
-    state_->shown.add_options()(name, po::bool_switch(&target), help);
+    state_->visible.add_options()(name, po::bool_switch(&target), help);
 }
 
 void option_set::text(const char* name, const char* help, std::string& target)
 {
-    state_->shown.add_options()(name, po::value(&target)->value_name("VALUE"), help);
+    state_->visible.add_options()(name, po::value(&target)->value_name("VALUE"), help);
 }
 
 void option_set::texts(const char* name, const char* help, std::vector<std::string>& target)
 {
-    state_->shown.add_options()(name, po::value(&target)->value_name("VALUE"), help);
+    state_->visible.add_options()(name, po::value(&target)->value_name("VALUE"), help);
 }
 
 void option_set::positional(const char* name, std::vector<std::string>& target, std::size_t least,
@@ -95,8 +95,8 @@
     state_->positions.add(positional_option, -1);
     state_->positional_name = name;
     state_->positional_target = &target;
-    state_->least = least;
-    state_->most = most;
+    state_->min_words = least;
+    state_->max_words = most;
 }
 
 void option_set::example(std::string line, std::string what)
@@ -106,16 +106,16 @@
 
 auto option_set::parse(const arguments& words, command_io& io) -> std::optional<exit_code>
 {
-    std::string mistake;
+    std::string problem;
     try {
         state_->read(words);
-        mistake = state_->help ? std::string() : state_->count_mistake();
+        problem = state_->help ? std::string() : state_->positional_count_error();
     }
     catch (const po::error& failed) {
-        mistake = failed.what();
+        problem = failed.what();
     }
-    if (!mistake.empty()) {
-        io.err << mistake << "\nUsage: " << state_->usage << "\nSee --help for the options.\n";
+    if (!problem.empty()) {
+        io.err << problem << "\nUsage: " << state_->usage << "\nSee --help for the options.\n";
         return exit_code::usage;
     }
     if (state_->help) {
--- a/src/app/text_file.cpp
+++ b/src/app/text_file.cpp
@@ -12,12 +12,12 @@
 constexpr int shared_mode = 0666;
 constexpr int owner_mode = 0600;
 
-auto failed_at(const std::string& path) -> error
+auto write_error(const std::string& path) -> error
 {
-    const int reason = errno;
-    return {error_kind::unavailable, "can't write " + path + ": " + std::strerror(reason),
-            reason == EEXIST ? "choose another name; a key is never overwritten"
-                             : "check the folder and the right to write there"};
+    const int error_number = errno;
+    return {error_kind::unavailable, "can't write " + path + ": " + std::strerror(error_number),
+            error_number == EEXIST ? "choose another name; a key is never overwritten"
+                                   : "check the folder and the right to write there"};
 }
 
 auto write_all(int descriptor, std::string_view text) -> bool
@@ -41,11 +41,11 @@
     const int flags = O_WRONLY | O_CREAT | O_CLOEXEC | (secret ? O_EXCL : O_TRUNC);
     const int descriptor = open(path.c_str(), flags, secret ? owner_mode : shared_mode);
     if (descriptor < 0) {
-        return failed_at(path);
+        return write_error(path);
     }
     const bool written = write_all(descriptor, text);
     if (!written || close(descriptor) != 0) {
-        return failed_at(path);
+        return write_error(path);
     }
     return success();
 }
--- a/src/settings/common_settings.cpp
+++ b/src/settings/common_settings.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-constexpr std::uint64_t highest_version = 999'999'999'999'999'999;
-constexpr std::size_t most_seeds = 16;
-constexpr std::size_t most_partners = 2;
+constexpr std::uint64_t max_version = 999'999'999'999'999'999;
+constexpr std::size_t max_seeds = 16;
+constexpr std::size_t max_partners = 2;
 
 } // namespace
 
@@ -28,9 +28,9 @@
 {
     schema.path({"bundle", "file", "bundle to start from, if no peer has a newer one"}, target.file);
     schema.count({"bundle", "min_version", "no bundle with a lower version is ever adopted"},
-                 target.min_version, {0, highest_version});
+                 target.min_version, {0, max_version});
     schema.partner_list({"bundle", "partners", "who must sign a bundle, with their public keys"},
-                        target.partners, most_partners);
+                        target.partners, max_partners);
 }
 
 void bind(settings_schema& schema, heartbeat_settings& target)
@@ -51,7 +51,7 @@
     schema.address({"control", "peer_listen", "address at which peers read bundle sections"},
                    target.peer_listen);
     schema.address_list({"control", "seeds", "UDP addresses of processes to join the fleet through"},
-                        target.seeds, most_seeds);
+                        target.seeds, max_seeds);
     schema.address({"control", "configuration_service", "the platform's configuration service"},
                    target.configuration_service);
     schema.address({"control", "host_list", "the platform's list of live and leaving hosts"},
--- a/src/settings/settings_reader.cpp
+++ b/src/settings/settings_reader.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-constexpr std::size_t largest_file = std::size_t{1} << 20U;
+constexpr std::size_t max_file_bytes = std::size_t{1} << 20U;
 /// A misspelt name differs from the one meant by few letters; further away, a hint would mislead.
-constexpr std::size_t nearest_distance = 3;
+constexpr std::size_t max_suggestion_distance = 3;
 
 /// Number of letters to change, add or leave out to get from `a` to `b`.
 auto edit_distance(std::string_view a, std::string_view b) -> std::size_t
@@ -24,16 +24,16 @@
         std::size_t diagonal = row[0];
         row[0] = i + 1;
         for (std::size_t j = 0; j < b.size(); ++j) {
-            const std::size_t replaced = diagonal + (a[i] == b[j] ? 0 : 1);
+            const std::size_t substituted = diagonal + (a[i] == b[j] ? 0 : 1);
             diagonal = row[j + 1];
-            row[j + 1] = std::min({replaced, row[j] + 1, diagonal + 1});
+            row[j + 1] = std::min({substituted, row[j] + 1, diagonal + 1});
         }
     }
     return row.back();
 }
 
 /// A key that was read: where it stands and what it says.
-struct read_key
+struct key_location
 {
     std::string section;
     std::string key;
@@ -41,10 +41,10 @@
 };
 
 /// Reads one document against a schema and collects the mistakes.
-class settings_check
+class settings_validator
 {
 public:
-    settings_check(const std::string& file, const settings_schema& schema, ini_document document)
+    settings_validator(const std::string& file, const settings_schema& schema, ini_document document)
         : file_(file)
         , schema_(schema)
         , document_(std::move(document))
@@ -75,52 +75,53 @@
 
 private:
     /// The section's name as written; settings have no `[kind name]` sections, so one is not known.
-    static auto name_of(const ini_section& section) -> std::string
+    static auto section_name(const ini_section& section) -> std::string
     {
         return section.name.empty() ? section.kind : section.kind + ' ' + section.name;
     }
 
     void check_entry(const ini_section& section, const ini_entry& entry)
     {
-        const read_key at{name_of(section), entry.key, static_cast<int>(entry.line)};
-        const int earlier = line_of(at.section, at.key);
-        if (earlier > 0) {
-            add_mistake(at, "the key was already set in line " + std::to_string(earlier), "",
+        const key_location location{section_name(section), entry.key, static_cast<int>(entry.line)};
+        const int previous_line = line_of(location.section, location.key);
+        if (previous_line > 0) {
+            add_mistake(location, "the key was already set in line " + std::to_string(previous_line), "",
                         "leave one of the two");
             return;
         }
-        read_.push_back(at);
+        seen_keys_.push_back(location);
         const auto specs = schema_.specs();
         const auto spec = std::find_if(specs.begin(), specs.end(), [&](const setting_spec& s) {
-            return s.section == at.section && s.key == at.key;
+            return s.section == location.section && s.key == location.key;
         });
         if (spec == specs.end()) {
-            add_unknown(at);
+            add_unknown_key(location);
             return;
         }
         const auto assigned = spec->assign(entry.value);
         if (assigned.has_error()) {
-            add_mistake(at, assigned.error().message(), spec->allowed, assigned.error().remedy());
+            add_mistake(location, assigned.error().message(), spec->allowed, assigned.error().remedy());
         }
     }
 
-    void add_mistake(const read_key& at, std::string message, std::string allowed, std::string remedy)
+    void add_mistake(const key_location& location, std::string message, std::string allowed,
+                     std::string remedy)
     {
-        mistakes_.push_back(
-            {file_, at.line, at.section, at.key, std::move(message), std::move(allowed), std::move(remedy)});
+        mistakes_.push_back({file_, location.line, location.section, location.key, std::move(message),
+                             std::move(allowed), std::move(remedy)});
     }
 
-    void add_unknown(const read_key& entry)
+    void add_unknown_key(const key_location& entry)
     {
         std::string keys;
         const setting_spec* nearest = nullptr;
-        std::size_t distance = nearest_distance + 1;
+        std::size_t nearest_distance = max_suggestion_distance + 1;
         for (const setting_spec& spec : schema_.specs()) {
-            const std::size_t away =
+            const std::size_t distance =
                 edit_distance(spec.section, entry.section) + edit_distance(spec.key, entry.key);
-            if (away < distance) {
+            if (distance < nearest_distance) {
                 nearest = &spec;
-                distance = away;
+                nearest_distance = distance;
             }
             if (spec.section == entry.section) {
                 keys += (keys.empty() ? "" : ", ") + spec.key;
@@ -154,7 +155,7 @@
         }
         const auto section =
             std::find_if(document_.sections.begin(), document_.sections.end(),
-                         [&](const ini_section& found) { return name_of(found) == spec.section; });
+                         [&](const ini_section& found) { return section_name(found) == spec.section; });
         const int line = section == document_.sections.end() ? 0 : static_cast<int>(section->line);
         mistakes_.push_back({file_, line, spec.section, spec.key, "the key is missing", spec.allowed,
                              "add it: " + spec.help});
@@ -172,20 +173,20 @@
 
     [[nodiscard]] auto line_of(const std::string& section, const std::string& key) const -> int
     {
-        const auto found = std::find_if(read_.begin(), read_.end(), [&](const read_key& k) {
+        const auto found = std::find_if(seen_keys_.begin(), seen_keys_.end(), [&](const key_location& k) {
             return k.section == section && k.key == key;
         });
-        return found == read_.end() ? 0 : found->line;
+        return found == seen_keys_.end() ? 0 : found->line;
     }
 
     const std::string& file_;
     const settings_schema& schema_;
     ini_document document_;
-    std::vector<read_key> read_;
+    std::vector<key_location> seen_keys_;
     std::vector<settings_mistake> mistakes_;
 };
 
-auto unreadable(const std::string& file, std::string message, std::string remedy)
+auto file_error(const std::string& file, std::string message, std::string remedy)
     -> std::vector<settings_mistake>
 {
     return {{file, 0, "", "", std::move(message), "", std::move(remedy)}};
@@ -196,7 +197,7 @@
 auto read_settings(std::string_view text, const std::string& file, const settings_schema& schema)
     -> std::vector<settings_mistake>
 {
-    return settings_check(file, schema, read_ini(text)).run();
+    return settings_validator(file, schema, read_ini(text)).run();
 }
 
 auto read_settings_file(const std::string& file, const settings_schema& schema)
@@ -204,13 +205,13 @@
 {
     std::ifstream in(file, std::ios::binary);
     if (!in) {
-        return unreadable(file, "the file can't be opened", "check its path and permissions");
+        return file_error(file, "the file can't be opened", "check its path and permissions");
     }
-    std::string text(largest_file + 1, '\0');
+    std::string text(max_file_bytes + 1, '\0');
     in.read(text.data(), static_cast<std::streamsize>(text.size()));
     text.resize(static_cast<std::size_t>(in.gcount()));
-    if (text.size() > largest_file) {
-        return unreadable(file, "the file is larger than 1 MiB", "check that it is a settings file");
+    if (text.size() > max_file_bytes) {
+        return file_error(file, "the file is larger than 1 MiB", "check that it is a settings file");
     }
     return read_settings(text, file, schema);
 }
--- a/src/settings/settings_reference.cpp
+++ b/src/settings/settings_reference.cpp
@@ -29,11 +29,11 @@
             text += (text.empty() ? "### [" : "\n### [") + section + "]\n";
             text += "| key | type | default | allowed | meaning |\n|---|---|---|---|---|\n";
         }
-        std::string standing = spec.default_text.empty() ? "none" : "`" + spec.default_text + "`";
+        std::string default_value = spec.default_text.empty() ? "none" : "`" + spec.default_text + "`";
         if (spec.needed == presence::required) {
-            standing = "required";
+            default_value = "required";
         }
-        text += "| `" + spec.key + "` | " + spec.type + " | " + standing + " | " + spec.allowed + " | " +
+        text += "| `" + spec.key + "` | " + spec.type + " | " + default_value + " | " + spec.allowed + " | " +
                 spec.help + " |\n";
     }
     return text;
--- a/src/settings/settings_schema.cpp
+++ b/src/settings/settings_schema.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-constexpr std::size_t longest_name = 64;
+constexpr std::size_t max_name_length = 64;
 constexpr std::size_t public_key_bytes = 32;
 
 struct byte_unit
@@ -46,7 +46,7 @@
     return std::string(text.data(), end.ptr) + "/s";
 }
 
-auto between(const std::string& low, const std::string& high) -> std::string
+auto range_text(const std::string& low, const std::string& high) -> std::string
 {
     return "from " + low + " to " + high;
 }
@@ -73,16 +73,17 @@
     return success();
 }
 
-auto is_name(std::string_view text) -> bool
+auto is_valid_name(std::string_view text) -> bool
 {
-    return !text.empty() && text.size() <= longest_name && std::all_of(text.begin(), text.end(), [](char c) {
-        return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '-' ||
-               c == '_' || c == '.';
-    });
+    return !text.empty() && text.size() <= max_name_length &&
+           std::all_of(text.begin(), text.end(), [](char c) {
+               return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
+                      c == '-' || c == '_' || c == '.';
+           });
 }
 
 /// The elements of a comma-separated list, without blanks.
-auto elements(std::string_view text) -> std::vector<std::string_view>
+auto split_list(std::string_view text) -> std::vector<std::string_view>
 {
     std::vector<std::string_view> list;
     while (!trim(text).empty()) {
@@ -93,7 +94,7 @@
     return list;
 }
 
-auto too_many(std::size_t most) -> error
+auto too_many_elements(std::size_t most) -> error
 {
     return {error_kind::invalid_input, "there are too many elements",
             "leave at most " + std::to_string(most)};
@@ -104,7 +105,7 @@
     const std::size_t colon = std::min(text.find(':'), text.size());
     const std::string_view name = trim(text.substr(0, colon));
     const std::string key(trim(text.substr(std::min(colon + 1, text.size()))));
-    if (!is_name(name) || key.size() != 2 * public_key_bytes || from_hex(key).has_error()) {
+    if (!is_valid_name(name) || key.size() != 2 * public_key_bytes || from_hex(key).has_error()) {
         return error(error_kind::invalid_input,
                      "'" + std::string(text) + "' is not a partner with a public key",
                      "write name:key as `dragonflymill bundle key` prints it");
@@ -112,7 +113,7 @@
     return partner_entry{std::string(name), key};
 }
 
-auto joined(const std::vector<std::string>& texts) -> std::string
+auto join(const std::vector<std::string>& texts) -> std::string
 {
     std::string all;
     for (const std::string& text : texts) {
@@ -143,7 +144,7 @@
 {
     add(where, {"name", "letters, digits, '-', '_' and '.', at most 64", ""}, needed,
         [store = std::move(store)](std::string_view text) -> result<void> {
-            if (!is_name(text)) {
+            if (!is_valid_name(text)) {
                 return error(error_kind::invalid_input, "'" + std::string(text) + "' is not a name",
                              "use a short name such as gw-1");
             }
@@ -168,9 +169,9 @@
         std::to_string(most);
     add(name, {"partners", allowed, ""}, presence::optional,
         [&target, most](std::string_view text) -> result<void> {
-            const auto list = elements(text);
+            const auto list = split_list(text);
             if (list.size() > most) {
-                return too_many(most);
+                return too_many_elements(most);
             }
             std::vector<partner_entry> partners;
             partners.reserve(list.size());
@@ -202,7 +203,7 @@
 void settings_schema::count(const setting_name& name, std::uint64_t& target,
                             setting_range<std::uint64_t> range)
 {
-    const std::string allowed = between(std::to_string(range.low), std::to_string(range.high));
+    const std::string allowed = range_text(std::to_string(range.low), std::to_string(range.high));
     add(name, {"whole number", allowed, std::to_string(target)}, presence::optional,
         [&target, range, allowed](std::string_view text) {
             return store_in_range(text, parse_count(text), range, allowed, target);
@@ -211,7 +212,7 @@
 
 void settings_schema::time(const setting_name& name, duration& target, setting_range<duration> range)
 {
-    const std::string allowed = between(to_text(range.low), to_text(range.high));
+    const std::string allowed = range_text(to_text(range.low), to_text(range.high));
     add(name, {"time", allowed, to_text(target)}, presence::optional,
         [&target, range, allowed](std::string_view text) {
             return store_in_range(text, parse_duration(text), range, allowed, target);
@@ -221,7 +222,7 @@
 void settings_schema::size(const setting_name& name, std::uint64_t& target,
                            setting_range<std::uint64_t> range)
 {
-    const std::string allowed = between(size_text(range.low), size_text(range.high));
+    const std::string allowed = range_text(size_text(range.low), size_text(range.high));
     add(name, {"size", allowed, size_text(target)}, presence::optional,
         [&target, range, allowed](std::string_view text) {
             return store_in_range(text, parse_bytes(text), range, allowed, target);
@@ -230,7 +231,7 @@
 
 void settings_schema::rate(const setting_name& name, double& target, setting_range<double> range)
 {
-    const std::string allowed = between(rate_text(range.low), rate_text(range.high));
+    const std::string allowed = range_text(rate_text(range.low), rate_text(range.high));
     add(name, {"rate", allowed, rate_text(target)}, presence::optional,
         [&target, range, allowed](std::string_view text) {
             return store_in_range(text, parse_rate(text), range, allowed, target);
@@ -253,17 +254,17 @@
 void settings_schema::address_list(const setting_name& name, std::vector<socket_address>& target,
                                    std::size_t most)
 {
-    std::vector<std::string> standing;
-    standing.reserve(target.size());
+    std::vector<std::string> default_addresses;
+    default_addresses.reserve(target.size());
     for (const socket_address& address : target) {
-        standing.push_back(to_text(address));
+        default_addresses.push_back(to_text(address));
     }
     const std::string allowed = "IP numbers with ports, separated by commas, at most " + std::to_string(most);
-    add(name, {"addresses", allowed, joined(standing)}, presence::optional,
+    add(name, {"addresses", allowed, join(default_addresses)}, presence::optional,
         [&target, most](std::string_view text) -> result<void> {
-            const auto list = elements(text);
+            const auto list = split_list(text);
             if (list.size() > most) {
-                return too_many(most);
+                return too_many_elements(most);
             }
             std::vector<socket_address> addresses;
             addresses.reserve(list.size());
@@ -282,7 +283,7 @@
 void settings_schema::add_choice(const setting_name& name, std::vector<std::string> names,
                                  const std::string& standing, std::function<void(std::size_t)> store)
 {
-    const std::string allowed = joined(names);
+    const std::string allowed = join(names);
     add(name, {"choice", allowed, standing}, presence::optional,
         [names = std::move(names), store = std::move(store), allowed](std::string_view text) -> result<void> {
             const auto found = std::find(names.begin(), names.end(), text);
--- a/src/settings/socket_address.cpp
+++ b/src/settings/socket_address.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr std::int64_t highest_port = 65'535;
+constexpr std::int64_t max_port = 65'535;
 
-auto unreadable(std::string_view text) -> error
+auto invalid_address(std::string_view text) -> error
 {
     return {error_kind::invalid_input, "'" + std::string(text) + "' is not an IP number with a port",
             "write it like 127.0.0.1:8080 or [::1]:8080; host names are not resolved"};
@@ -22,7 +22,7 @@
 {
     const std::size_t colon = text.rfind(':');
     if (colon == std::string_view::npos) {
-        return unreadable(text);
+        return invalid_address(text);
     }
     std::string_view ip = text.substr(0, colon);
     const bool bracketed = ip.size() > 2 && ip.front() == '[' && ip.back() == ']';
@@ -32,8 +32,8 @@
     boost::system::error_code failed;
     const auto address = boost::asio::ip::make_address(std::string(ip), failed);
     const auto port = parse_count(text.substr(colon + 1));
-    if (failed || address.is_v6() != bracketed || port.has_error() || port.value() > highest_port) {
-        return unreadable(text);
+    if (failed || address.is_v6() != bracketed || port.has_error() || port.value() > max_port) {
+        return invalid_address(text);
     }
     return socket_address{address.to_string(), static_cast<std::uint16_t>(port.value())};
 }
--- a/src/settings/socket_endpoint.cpp
+++ b/src/settings/socket_endpoint.cpp
@@ -31,7 +31,7 @@
 }
 
 template <typename Protocol>
-auto text_of(const ip::basic_endpoint<Protocol>& endpoint) -> std::string
+auto endpoint_text(const ip::basic_endpoint<Protocol>& endpoint) -> std::string
 {
     return to_text(socket_address{endpoint.address().to_string(), endpoint.port()});
 }
@@ -60,12 +60,12 @@
 
 auto to_text(const ip::tcp::endpoint& endpoint) -> std::string
 {
-    return text_of(endpoint);
+    return endpoint_text(endpoint);
 }
 
 auto to_text(const ip::udp::endpoint& endpoint) -> std::string
 {
-    return text_of(endpoint);
+    return endpoint_text(endpoint);
 }
 
 } // namespace dragonflymill
--- a/tests/app/admin_test.cpp
+++ b/tests/app/admin_test.cpp
@@ -94,7 +94,7 @@
     return {code, out.str(), err.str()};
 }
 
-auto refusal_of_all() -> result<void>
+auto unauthorized_error() -> result<void>
 {
     return error(error_kind::unauthorized, "the signature of birchlog is missing or wrong", "sign it");
 }
@@ -171,7 +171,7 @@
 
 Test(admin, a_refusal_comes_with_the_process_s_own_words)
 {
-    const admin_process process{refusal_of_all()};
+    const admin_process process{unauthorized_error()};
     const bundle_file file;
     const auto pushed = run(run_bundle_push, {file.path(), "--to", process.address()});
     cr_assert(pushed.code == exit_code::refused);
@@ -199,8 +199,8 @@
 
 Test(admin, what_is_not_offered_is_refused)
 {
-    const admin_handlers handlers{sample_status, [] { return refusal_of_all(); },
-                                  [](const bundle_package&) { return refusal_of_all(); }};
+    const admin_handlers handlers{sample_status, [] { return unauthorized_error(); },
+                                  [](const bundle_package&) { return unauthorized_error(); }};
     cr_assert(answer_admin({"GET", "/admin/nothing", {}, ""}, handlers).status == 404);
     cr_assert(answer_admin({"GET", "/admin/drain", {}, ""}, handlers).status == 405);
     cr_assert(answer_admin({"POST", "/admin/status", {}, ""}, handlers).status == 405);
--- a/tests/app/command_explain_test.cpp
+++ b/tests/app/command_explain_test.cpp
@@ -16,7 +16,7 @@
 public:
     explicit log_file(const std::string& text)
         : path_(std::filesystem::temp_directory_path() /
-                ("explain-" + std::to_string(getpid()) + "-" + std::to_string(++made)))
+                ("explain-" + std::to_string(getpid()) + "-" + std::to_string(++file_count)))
     {
         std::ofstream(path_) << text;
     }
@@ -27,12 +27,12 @@
     [[nodiscard]] auto name() const -> std::string { return path_.string(); }
 
 private:
-    static inline int made = 0;
+    static inline int file_count = 0;
     std::filesystem::path path_;
 };
 
-auto line(const std::string& time, const std::string& process, const std::string& name,
-          const std::string& request) -> std::string
+auto log_line(const std::string& time, const std::string& process, const std::string& name,
+              const std::string& request) -> std::string
 {
     return R"({"time":")" + time + R"(","process":")" + process + R"(","name":")" + name +
            R"(","fields":{"request":")" + request + R"(","attempt":1}})" + "\n";
@@ -44,9 +44,9 @@
 // others and behind a collector's prefix; on-call engineers want them in one order.
 Test(command_explain, lines_of_a_request_come_in_order_over_all_logs)
 {
-    const log_file one("collector: " + line("T2", "g1", "call_refused", "r7") +
-                       line("T1", "g1", "other", "r70") + "not json r7\n{broken r7\n");
-    const log_file two(line("T1", "g2", "call_dispatched", "r7"));
+    const log_file one("collector: " + log_line("T2", "g1", "call_refused", "r7") +
+                       log_line("T1", "g1", "other", "r70") + "not json r7\n{broken r7\n");
+    const log_file two(log_line("T1", "g2", "call_dispatched", "r7"));
     std::ostringstream out;
     std::ostringstream err;
     command_io io{out, err};
--- a/tests/app/examples_test.cpp
+++ b/tests/app/examples_test.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr std::size_t largest_bundle = 1U << 20U;
+constexpr std::size_t max_bundle_bytes = 1U << 20U;
 
 /// One of the deployments under examples/, at today's sizes.
 struct deployment
@@ -28,12 +28,12 @@
 
 deployment deployments[] = {{"cooperative", 16, 3, 10}, {"birchlog", 14, 3, 10}};
 
-auto file_of(const deployment& one, const std::string& name) -> std::string
+auto path_of(const deployment& example, const std::string& name) -> std::string
 {
-    return std::string(DRAGONFLYMILL_SOURCE_DIR "/examples/") + one.name + "/" + name;
+    return std::string(DRAGONFLYMILL_SOURCE_DIR "/examples/") + example.name + "/" + name;
 }
 
-void accept(const arguments& words)
+void expect_accepted(const arguments& words)
 {
     std::ostringstream out;
     std::ostringstream err;
@@ -41,27 +41,27 @@
     cr_assert(run_program(words, io) == exit_code::success, "%s", err.str().c_str());
 }
 
-auto bundle_of(const deployment& one) -> bundle
+auto bundle_of(const deployment& example) -> bundle
 {
-    const auto text = runtime::read_text_file(file_of(one, "bundle.ini"), largest_bundle);
+    const auto text = runtime::read_text_file(path_of(example, "bundle.ini"), max_bundle_bytes);
     cr_assert(text.has_value());
     auto read = parse_bundle_source(text.value());
     cr_assert(read.has_value());
     return read.value();
 }
 
-auto engine_count(const bundle& all) -> std::size_t
+auto engine_count(const bundle& content) -> std::size_t
 {
     return static_cast<std::size_t>(
-        std::count_if(all.upstreams.begin(), all.upstreams.end(),
-                      [](const upstream_entry& each) { return each.kind == upstream_kind::engine; }));
+        std::count_if(content.upstreams.begin(), content.upstreams.end(),
+                      [](const upstream_entry& entry) { return entry.kind == upstream_kind::engine; }));
 }
 
-void match(const bundle& all, const process_settings& process)
+void expect_known_domain(const bundle& content, const process_settings& process)
 {
-    const bool known =
-        std::any_of(all.domains.begin(), all.domains.end(), [&process](const failure_domain_entry& each) {
-            return each.id == process.failure_domain && each.region == process.region;
+    const bool known = std::any_of(
+        content.domains.begin(), content.domains.end(), [&process](const failure_domain_entry& entry) {
+            return entry.id == process.failure_domain && entry.region == process.region;
         });
     cr_assert(known, "the failure domain of the settings is in the bundle, in the same region");
 }
@@ -73,27 +73,27 @@
     return cr_make_param_array(deployment, deployments, std::size(deployments));
 }
 
-ParameterizedTest(deployment* one, examples, checks_accept_them_and_their_files_agree)
+ParameterizedTest(deployment* example, examples, checks_accept_them_and_their_files_agree)
 {
-    accept({"bundle", "check", file_of(*one, "bundle.ini")});
-    accept({"gateway", "--config", file_of(*one, "gateway.ini"), "--check"});
-    const auto all = bundle_of(*one);
-    cr_assert(all.domains.size() == 3);
-    cr_assert(engine_count(all) == one->engines);
-    cr_assert(all.upstreams.size() - engine_count(all) == one->services);
-    cr_assert(all.accounts.size() == one->accounts);
+    expect_accepted({"bundle", "check", path_of(*example, "bundle.ini")});
+    expect_accepted({"gateway", "--config", path_of(*example, "gateway.ini"), "--check"});
+    const auto content = bundle_of(*example);
+    cr_assert(content.domains.size() == 3);
+    cr_assert(engine_count(content) == example->engines);
+    cr_assert(content.upstreams.size() - engine_count(content) == example->services);
+    cr_assert(content.accounts.size() == example->accounts);
     gateway_settings gateway;
-    cr_assert(read_settings_file(file_of(*one, "gateway.ini"), gateway_schema(gateway)).empty());
-    match(all, gateway.process);
+    cr_assert(read_settings_file(path_of(*example, "gateway.ini"), gateway_schema(gateway)).empty());
+    expect_known_domain(content, gateway.process);
     for (const auto* name : {"sidecar-engine.ini", "sidecar-booking.ini"}) {
-        accept({"sidecar", "--config", file_of(*one, name), "--check"});
+        expect_accepted({"sidecar", "--config", path_of(*example, name), "--check"});
         sidecar_settings sidecar;
-        cr_assert(read_settings_file(file_of(*one, name), sidecar_schema(sidecar)).empty());
-        match(all, sidecar.process);
+        cr_assert(read_settings_file(path_of(*example, name), sidecar_schema(sidecar)).empty());
+        expect_known_domain(content, sidecar.process);
         const auto found =
-            std::find_if(all.upstreams.begin(), all.upstreams.end(),
-                         [&sidecar](const upstream_entry& each) { return each.id == sidecar.upstream.id; });
-        cr_assert(found != all.upstreams.end());
+            std::find_if(content.upstreams.begin(), content.upstreams.end(),
+                         [&sidecar](const upstream_entry& entry) { return entry.id == sidecar.upstream.id; });
+        cr_assert(found != content.upstreams.end());
         cr_assert(found->sidecar_address == to_text(sidecar.grpc_listen));
         cr_assert(found->host == sidecar.process.host);
         cr_assert(found->domain == sidecar.process.failure_domain);
@@ -105,14 +105,14 @@
     return cr_make_param_array(deployment, deployments, std::size(deployments));
 }
 
-ParameterizedTest(deployment* one, examples, every_host_and_address_is_of_one_upstream)
+ParameterizedTest(deployment* example, examples, every_host_and_address_is_of_one_upstream)
 {
-    const auto all = bundle_of(*one);
+    const auto content = bundle_of(*example);
     std::set<std::string> addresses;
     std::set<host_id> hosts;
-    for (const auto& each : all.upstreams) {
-        cr_assert(addresses.insert(each.sidecar_address).second, "%s", each.id.text().c_str());
-        cr_assert(hosts.insert(each.host).second, "%s", each.id.text().c_str());
+    for (const auto& entry : content.upstreams) {
+        cr_assert(addresses.insert(entry.sidecar_address).second, "%s", entry.id.text().c_str());
+        cr_assert(hosts.insert(entry.host).second, "%s", entry.id.text().c_str());
     }
 }
 
--- a/tests/settings/settings_reader_test.cpp
+++ b/tests/settings/settings_reader_test.cpp
@@ -10,27 +10,27 @@
 
 namespace {
 
-constexpr const char* small_gateway = "[once]\n"
-                                      "key_file = tickets.key\n"
-                                      "[process]\n"
-                                      "name = gw-1\n"
-                                      "host = h1\n"
-                                      "failure_domain = a\n"
-                                      "region = north\n"
-                                      "[listen]\n"
-                                      "http = 127.0.0.1:8080\n";
-
-auto mistakes_with(const std::string& more) -> std::vector<settings_mistake>
+constexpr const char* minimal_gateway = "[once]\n"
+                                        "key_file = tickets.key\n"
+                                        "[process]\n"
+                                        "name = gw-1\n"
+                                        "host = h1\n"
+                                        "failure_domain = a\n"
+                                        "region = north\n"
+                                        "[listen]\n"
+                                        "http = 127.0.0.1:8080\n";
+
+auto mistakes_for(const std::string& extra_text) -> std::vector<settings_mistake>
 {
     gateway_settings settings;
-    return read_settings(small_gateway + more, "gw.ini", gateway_schema(settings));
+    return read_settings(minimal_gateway + extra_text, "gw.ini", gateway_schema(settings));
 }
 
-void expect_one(const std::string& more, const std::string& line)
+void expect_single_mistake(const std::string& extra_text, const std::string& expected)
 {
-    const auto mistakes = mistakes_with(more);
+    const auto mistakes = mistakes_for(extra_text);
     cr_assert(mistakes.size() == 1, "%s", to_text(mistakes).c_str());
-    cr_assert(to_text(mistakes[0]) == line, "%s", to_text(mistakes[0]).c_str());
+    cr_assert(to_text(mistakes[0]) == expected, "%s", to_text(mistakes[0]).c_str());
 }
 
 } // namespace
@@ -39,7 +39,7 @@
 {
     gateway_settings settings;
     const std::string text =
-        std::string(small_gateway) +
+        std::string(minimal_gateway) +
         "[timeouts]\nrequest = 30s\nheader = 500ms\n[limits]\nmax_body = 64MiB\n"
         "[control]\nseeds = 127.0.0.1:7000, [::1]:7001\nstandalone = yes\n[log]\nlevel = debug\n";
     const auto mistakes = read_settings(text, "gw.ini", gateway_schema(settings));
@@ -75,22 +75,23 @@
 Test(settings_reader, a_wrong_unit_says_what_is_allowed)
 {
     const std::string remedy = parse_duration("30").error().remedy();
-    expect_one("[timeouts]\nbody = 30\n",
-               "gw.ini:11: [timeouts] body: '30' is not a time; allowed: from 100ms to 10m; " + remedy);
+    expect_single_mistake("[timeouts]\nbody = 30\n",
+                          "gw.ini:11: [timeouts] body: '30' is not a time; allowed: from 100ms to 10m; " +
+                              remedy);
 }
 
 Test(settings_reader, a_value_out_of_range_says_the_range)
 {
-    expect_one("[heartbeat]\nmisses = 1\n",
-               "gw.ini:11: [heartbeat] misses: '1' is out of range; allowed: from 2 "
-               "to 20; write a value from 2 to 20");
+    expect_single_mistake("[heartbeat]\nmisses = 1\n",
+                          "gw.ini:11: [heartbeat] misses: '1' is out of range; allowed: from 2 "
+                          "to 20; write a value from 2 to 20");
 }
 
 Test(settings_reader, an_unknown_key_names_the_known_ones_and_the_nearest)
 {
-    expect_one("[heartbeat]\nmises = 3\n",
-               "gw.ini:11: [heartbeat] mises: the key is not known; allowed: interval, "
-               "misses, renewal; did you mean [heartbeat] misses?");
+    expect_single_mistake("[heartbeat]\nmises = 3\n",
+                          "gw.ini:11: [heartbeat] mises: the key is not known; allowed: interval, "
+                          "misses, renewal; did you mean [heartbeat] misses?");
 }
 
 Test(settings_reader, a_missing_key_is_named_with_its_section)
@@ -108,13 +109,13 @@
 
 Test(settings_reader, a_repeated_key_names_both_lines)
 {
-    expect_one("[log]\nlevel = info\nlevel = debug\n",
-               "gw.ini:12: [log] level: the key was already set in line 11; leave one of the two");
+    expect_single_mistake("[log]\nlevel = info\nlevel = debug\n",
+                          "gw.ini:12: [log] level: the key was already set in line 11; leave one of the two");
 }
 
 Test(settings_reader, rules_over_several_keys_hold)
 {
-    expect_one(
+    expect_single_mistake(
         "[timeouts]\nrequest = 1s\nheader = 2s\n",
         "gw.ini:12: [timeouts] header: the header's time is longer than the request's; make it at most "
         "timeouts.request");
@@ -125,7 +126,7 @@
     const std::string key(64, 'a');
     gateway_settings settings;
     const std::string text =
-        small_gateway + ("[bundle]\npartners = formosa:" + key + ", birchlog:" + key + "\n");
+        minimal_gateway + ("[bundle]\npartners = formosa:" + key + ", birchlog:" + key + "\n");
     cr_assert(read_settings(text, "gw.ini", gateway_schema(settings)).empty());
     cr_assert(settings.bundle.partners.size() == 2);
     cr_assert(settings.bundle.partners[1].name == "birchlog");
@@ -133,7 +134,7 @@
     const std::vector<std::string> wrong_ones{"formosa", "formosa:", "formosa:12", ":" + key,
                                               "a:" + key + ",b:" + key + ",c:" + key};
     for (const std::string& wrong : wrong_ones) {
-        cr_assert(mistakes_with("[bundle]\npartners = " + wrong + "\n").size() == 1, "%s", wrong.c_str());
+        cr_assert(mistakes_for("[bundle]\npartners = " + wrong + "\n").size() == 1, "%s", wrong.c_str());
     }
 }
 
--- a/tests/settings/settings_reference_test.cpp
+++ b/tests/settings/settings_reference_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-auto docs() -> std::string
+auto settings_page() -> std::string
 {
     std::ifstream in(DRAGONFLYMILL_SOURCE_DIR "/docs/settings.md");
     std::ostringstream text;
@@ -38,7 +38,7 @@
 {
     gateway_settings gateway;
     sidecar_settings sidecar;
-    const std::string text = docs();
+    const std::string text = settings_page();
     for (const std::string& tables :
          {settings_tables(gateway_schema(gateway)), settings_tables(sidecar_schema(sidecar))}) {
         std::istringstream rows(tables);
@@ -56,8 +56,8 @@
     const std::string text = uncommented(settings_template(gateway_schema(settings)));
     gateway_settings read;
     for (const settings_mistake& mistake : read_settings(text, "template", gateway_schema(read))) {
-        const bool to_fill_in = mistake.section == "process" || mistake.section == "listen";
-        cr_assert(to_fill_in, "%s", to_text(mistake).c_str());
+        const bool is_placeholder = mistake.section == "process" || mistake.section == "listen";
+        cr_assert(is_placeholder, "%s", to_text(mistake).c_str());
     }
     cr_assert(read.timeouts == settings.timeouts);
     cr_assert(read.limits == settings.limits);
