--- a/src/app/admin_client.cpp
+++ b/src/app/admin_client.cpp
@@ -22,7 +22,8 @@
             "check the process and its [listen] admin, then look at its status"};
 }
 
-/// The process's own words for why it refused.
+/// Builds the error for a non-success status, with the `remedy` of the response's JSON error body if it has
+/// one.
 auto refusal_error(const http::http_response& response) -> error
 {
     boost::system::error_code parse_error;
--- a/src/app/admin_client.h
+++ b/src/app/admin_client.h
@@ -6,8 +6,9 @@
 
 namespace dragonflymill::app {
 
-/// Sends one request to a process's admin address and waits for its answer, a few seconds at most. An answer
-/// that is no success becomes an error with the process's own words.
+/// Sends one request to a process's admin address and waits up to 5 s for the response. Fails with
+/// `unavailable` if no complete response arrives, and with `conflict` and the process's own message on status
+/// 300 and above.
 [[nodiscard]] auto call_admin(const socket_address& address, http::http_request request)
     -> result<http::http_response>;
 
--- a/src/app/admin_targets.h
+++ b/src/app/admin_targets.h
@@ -9,8 +9,9 @@
 
 namespace dragonflymill::app {
 
-/// Does `act` for the admin address in each of `texts`, also after one failed, and reports every failure. The
-/// answer is the exit code of the first failure.
+/// Calls `act` with each admin address in `texts` and reports every failure; a failure does not stop the
+/// others. Returns the exit code of the first failure, or `usage`, without any call, if an address can't be
+/// parsed.
 [[nodiscard]] auto for_each_target(const std::vector<std::string>& texts, command_io& io,
                                    const std::function<result<void>(const socket_address&)>& act)
     -> exit_code;
--- a/src/app/command.h
+++ b/src/app/command.h
@@ -9,29 +9,30 @@
 
 namespace dragonflymill::app {
 
-/// Words of a command line after the command's own name.
+/// The words of a command line that follow the command's name.
 using arguments = std::vector<std::string>;
 
-/// Where a command writes.
+/// Output streams of a command.
 struct command_io
 {
-    std::ostream& out; ///< What was asked for.
-    std::ostream& err; ///< Everything else.
+    std::ostream& out; ///< The command's results.
+    std::ostream& err; ///< Errors and usage messages.
 };
 
 /// A subcommand of the program.
 struct command
 {
-    const char* name;                                                ///< Name on the command line.
-    const char* summary;                                             ///< What it does; one line.
-    auto(*run)(const arguments& words, command_io& io) -> exit_code; ///< Runs it.
+    const char* name;                                                ///< Its name on the command line.
+    const char* summary;                                             ///< One-line description for the help.
+    auto(*run)(const arguments& words, command_io& io) -> exit_code; ///< Runs the command.
 };
 
-/// Runs the command that the first word names; `program` is what stands before it, for the help.
+/// Runs the command named by the first word. `program` is the text before that word, as shown in the help.
+/// Returns `usage` if the word is missing or unknown.
 [[nodiscard]] auto run_command(const char* program, std::span<const command> commands, const arguments& words,
                                command_io& io) -> exit_code;
 
-/// Writes an error and gives its exit code.
+/// Writes an error with its remedy to `io.err` and returns its exit code.
 [[nodiscard]] auto report(const error& failed, command_io& io) -> exit_code;
 
 } // namespace dragonflymill::app
--- a/src/app/command_bundle.h
+++ b/src/app/command_bundle.h
@@ -4,7 +4,7 @@
 
 namespace dragonflymill::app {
 
-/// Runs `dragonflymill bundle`.
+/// Runs `dragonflymill bundle`: runs one of the bundle subcommands.
 [[nodiscard]] auto run_bundle(const arguments& words, command_io& io) -> exit_code;
 
 } // namespace dragonflymill::app
--- a/src/app/command_bundle_push.h
+++ b/src/app/command_bundle_push.h
@@ -4,7 +4,7 @@
 
 namespace dragonflymill::app {
 
-/// Runs `dragonflymill bundle push`.
+/// Runs `dragonflymill bundle push`: sends a signed bundle to running processes.
 [[nodiscard]] auto run_bundle_push(const arguments& words, command_io& io) -> exit_code;
 
 } // namespace dragonflymill::app
--- a/src/app/command_bundle_sign.cpp
+++ b/src/app/command_bundle_sign.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// What to sign, by whom, with what, and where it goes.
+/// Values of the command line.
 struct sign_request
 {
     std::string file;
--- a/src/app/command_cordon.cpp
+++ b/src/app/command_cordon.cpp
@@ -13,7 +13,7 @@
 
 constexpr duration response_timeout = 5s;
 
-/// What the command line says.
+/// Values of the command line.
 struct cordon_options
 {
     std::string failure_domain;
--- a/src/app/command_daemon.cpp
+++ b/src/app/command_daemon.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Reads the settings file of a role and runs it.
+/// Reads and checks the settings file of a role; without `--check` then runs the daemon until it stops.
 template <typename Settings>
 auto run_role(const char* role, settings_schema (*schema_of)(Settings&), int (*run)(const Settings&),
               const arguments& words, command_io& io) -> exit_code
--- a/src/app/command_daemon.h
+++ b/src/app/command_daemon.h
@@ -4,10 +4,10 @@
 
 namespace dragonflymill::app {
 
-/// Runs `dragonflymill gateway`.
+/// Runs `dragonflymill gateway`: the gateway daemon, until it is stopped.
 [[nodiscard]] auto run_gateway_command(const arguments& words, command_io& io) -> exit_code;
 
-/// Runs `dragonflymill sidecar`.
+/// Runs `dragonflymill sidecar`: the sidecar daemon, until it is stopped.
 [[nodiscard]] auto run_sidecar_command(const arguments& words, command_io& io) -> exit_code;
 
 } // namespace dragonflymill::app
--- a/src/app/command_drain.h
+++ b/src/app/command_drain.h
@@ -4,7 +4,7 @@
 
 namespace dragonflymill::app {
 
-/// Runs `dragonflymill drain`.
+/// Runs `dragonflymill drain`: begins the planned stop of processes.
 [[nodiscard]] auto run_drain(const arguments& words, command_io& io) -> exit_code;
 
 } // namespace dragonflymill::app
--- a/src/app/command_explain.cpp
+++ b/src/app/command_explain.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// A log line about the request.
+/// A log line about the request, shortened for output.
 struct explained_line
 {
     std::string time;
@@ -28,8 +28,8 @@
     return found != nullptr && found->is_string() ? std::string(found->get_string()) : std::string();
 }
 
-/// The line in short, if it is a JSON log line whose fields name the request. What stands before the object,
-/// such as a collector's own prefix, is left out.
+/// Shortens a JSON log line whose `request` field equals `request`; `nullopt` for any other line. Text before
+/// the JSON object, such as a log collector's prefix, is skipped.
 auto explain_line(std::string_view line, const std::string& request) -> std::optional<explained_line>
 {
     const auto begin = line.find('{');
--- a/src/app/command_status.h
+++ b/src/app/command_status.h
@@ -4,7 +4,7 @@
 
 namespace dragonflymill::app {
 
-/// Runs `dragonflymill status`.
+/// Runs `dragonflymill status`: prints the status of processes.
 [[nodiscard]] auto run_status(const arguments& words, command_io& io) -> exit_code;
 
 } // namespace dragonflymill::app
--- a/src/app/command_timeline.cpp
+++ b/src/app/command_timeline.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Writes what `render` gives to `path`, unless that is empty.
+/// Writes the output of `render` to `path`; does nothing if `path` is empty.
 template <typename Render>
 auto write_if_requested(const std::string& path, Render render) -> result<void>
 {
--- a/src/app/command_version.h
+++ b/src/app/command_version.h
@@ -4,7 +4,7 @@
 
 namespace dragonflymill::app {
 
-/// Runs `dragonflymill version`.
+/// Runs `dragonflymill version`: prints the program version.
 [[nodiscard]] auto run_version(const arguments& words, command_io& io) -> exit_code;
 
 } // namespace dragonflymill::app
--- a/src/app/exit_code.h
+++ b/src/app/exit_code.h
@@ -4,19 +4,19 @@
 
 namespace dragonflymill::app {
 
-/// What the program's exit status says; docs/cli.md lists them.
+/// Exit status of the program; docs/cli.md documents each value.
 enum class exit_code
 {
-    success = 0,     ///< All went well.
-    failure = 1,     ///< It failed for a reason that no other code names.
-    usage = 2,       ///< The command line is wrong.
-    invalid = 3,     ///< A settings file, bundle, key or time line has mistakes.
-    unreachable = 4, ///< A file or process that is needed can't be reached.
-    refused = 5,     ///< The other side, or a signature check, said no.
-    superseded = 6,  ///< A sidecar was paused for longer than its lease: start it anew.
+    success = 0,     ///< Success.
+    failure = 1,     ///< Any failure that no other code covers.
+    usage = 2,       ///< The command line is invalid.
+    invalid = 3,     ///< A settings file, bundle, key or time line is invalid.
+    unreachable = 4, ///< A required file or process can't be reached.
+    refused = 5,     ///< The other process or a signature check rejected the operation.
+    superseded = 6,  ///< A sidecar was paused for longer than its lease and must be restarted.
 };
 
-/// The exit code for an error that ends a command.
+/// Returns the exit code for an error that ends a command.
 [[nodiscard]] constexpr auto exit_code_of(error_kind kind) -> exit_code
 {
     switch (kind) {
--- a/src/app/key_file.h
+++ b/src/app/key_file.h
@@ -7,7 +7,7 @@
 
 namespace dragonflymill::app {
 
-/// Reads a partner's private key from its PEM file.
+/// Reads a partner's private key from a PEM file of at most 16 KiB. An error names the file.
 [[nodiscard]] auto load_private_key(const std::string& path) -> result<ed25519_private_key>;
 
 } // namespace dragonflymill::app
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -11,8 +11,8 @@
         command_io io{std::cout, std::cerr};
         const auto code = static_cast<int>(run_program(arguments(argv + 1, argv + argc), io));
         std::cout.flush();
-        // All that is ours has been closed and written by now; the transport's threads may still be letting
-        // go of the last calls, and must not meet static objects that are being destroyed.
+        // All files and sockets of the program are closed by now. Threads of the RPC transport may still be
+        // releasing their last calls; skipping static destructors keeps them from using destroyed objects.
         std::quick_exit(code);
     }
     catch (const std::exception& failed) {
--- a/src/app/option_set.cpp
+++ b/src/app/option_set.cpp
@@ -49,7 +49,7 @@
         po::notify(found);
     }
 
-    /// What is wrong with the number of positional words; empty if nothing is.
+    /// Describes why the number of positional words is not allowed; empty if it is.
     [[nodiscard]] auto positional_count_error() const -> std::string
     {
         const std::size_t given = positional_target == nullptr ? 0 : positional_target->size();
--- a/src/app/option_set.h
+++ b/src/app/option_set.h
@@ -10,30 +10,31 @@
 
 namespace dragonflymill::app {
 
-/// Options of a command, bound to the variables that take their values.
+/// Command-line options of one command, bound to the variables that receive their values.
 class option_set
 {
 public:
-    /// `usage` is the command line in short, such as `dragonflymill timeline FILE... [--out FILE]`; `about`
-    /// says what the command does.
+    /// `usage` is the command's synopsis, such as `dragonflymill timeline FILE... [--out FILE]`; `about`
+    /// describes the command. Both appear in the help.
     option_set(std::string usage, std::string about);
     ~option_set();
     option_set(const option_set&) = delete;
     auto operator=(const option_set&) -> option_set& = delete;
 
-    /// An option without a value.
+    /// Adds an option without a value.
     void flag(const char* name, const char* help, bool& target);
-    /// An option with a value.
+    /// Adds an option with a value.
     void text(const char* name, const char* help, std::string& target);
-    /// An option with a value that may be given several times.
+    /// Adds an option with a value that may be given several times.
     void texts(const char* name, const char* help, std::vector<std::string>& target);
-    /// Words that belong to no option: from `least` to `most` of them.
+    /// Accepts from `least` to `most` words that belong to no option; `name` appears in the error if too few
+    /// are given.
     void positional(const char* name, std::vector<std::string>& target, std::size_t least, std::size_t most);
-    /// A command line that shows the command's use, with what it does.
+    /// Adds an example to the help: a command line and a description of its effect.
     void example(std::string line, std::string what);
 
-    /// Reads `words` into the variables. The answer is the exit code if the command is not to go on: after
-    /// `--help`, or when the words are wrong.
+    /// Parses `words` into the variables. Returns an exit code if the command must not run: `success` after
+    /// `--help`, `usage` if the words are invalid. Writes the help or the error to `io`.
     [[nodiscard]] auto parse(const arguments& words, command_io& io) -> std::optional<exit_code>;
 
 private:
--- a/src/app/text_file.cpp
+++ b/src/app/text_file.cpp
@@ -37,7 +37,7 @@
 auto write_file(const std::string& path, std::string_view text, file_access access) -> result<void>
 {
     const bool secret = access == file_access::owner_only;
-    // A key that replaced another one would leave bundles that nobody can sign any more.
+    // O_EXCL: overwriting a private key would lose it, and its partner could sign no further bundles.
     const int flags = O_WRONLY | O_CREAT | O_CLOEXEC | (secret ? O_EXCL : O_TRUNC);
     const int descriptor = open(path.c_str(), flags, secret ? owner_mode : shared_mode);
     if (descriptor < 0) {
--- a/src/app/text_file.h
+++ b/src/app/text_file.h
@@ -7,14 +7,15 @@
 
 namespace dragonflymill::app {
 
-/// Who may read a file that is written.
+/// Permissions of a written file.
 enum class file_access
 {
-    shared,     ///< As the user's mask says.
-    owner_only, ///< The owner alone: it holds a secret.
+    shared,     ///< Read and write for all, less the umask.
+    owner_only, ///< Owner only, for secrets such as private keys.
 };
 
-/// Writes a whole new file; an existing one is replaced, but not one with a secret.
+/// Writes `text` to a file. An existing file is replaced with `shared` and left untouched with `owner_only`,
+/// which fails instead. Errors are of kind `unavailable`.
 [[nodiscard]] auto write_file(const std::string& path, std::string_view text,
                               file_access access = file_access::shared) -> result<void>;
 
--- a/src/app/version.h
+++ b/src/app/version.h
@@ -2,7 +2,7 @@
 
 namespace dragonflymill::app {
 
-/// Version of the program, as `dragonflymill version` prints it.
+/// Returns the program's name and version, as `dragonflymill version` prints them.
 [[nodiscard]] auto version_text() -> const char*;
 
 } // namespace dragonflymill::app
--- a/src/settings/gateway_settings.h
+++ b/src/settings/gateway_settings.h
@@ -4,33 +4,33 @@
 
 namespace dragonflymill {
 
-/// Time limits towards callers.
+/// Timeouts for client connections.
 struct caller_timeouts
 {
-    duration header = 10s;                      ///< For the whole request header.
-    duration body = 60s;                        ///< Without a byte of the body.
-    duration idle = 75s;                        ///< Between two requests of a connection.
-    duration request = std::chrono::minutes(5); ///< For a request from header to the end of its answer.
+    duration header = 10s;                      ///< To receive the whole request header.
+    duration body = 60s;                        ///< To receive further bytes of a request body.
+    duration idle = 75s;                        ///< Between two requests on a connection.
+    duration request = std::chrono::minutes(5); ///< From the request header to the end of the response.
 
     friend auto operator==(const caller_timeouts&, const caller_timeouts&) -> bool = default;
 };
 
-/// Bounds towards callers.
+/// Limits for client requests and connections.
 struct caller_limits
 {
-    std::uint64_t max_header = 16U << 10U; ///< Bytes of a request header.
-    std::uint64_t max_body = 16U << 20U;   ///< Bytes of a request body.
-    std::uint64_t max_bodies = 96U << 20U; ///< Bytes of the bodies of all requests in hand together.
-    std::uint64_t max_connections = 4096;  ///< Open connections.
+    std::uint64_t max_header = 16U << 10U; ///< Maximum size of a request header in bytes.
+    std::uint64_t max_body = 16U << 20U;   ///< Maximum size of a request body in bytes.
+    std::uint64_t max_bodies = 96U << 20U; ///< Maximum total size of the bodies of all requests in flight.
+    std::uint64_t max_connections = 4096;  ///< Maximum number of open client connections.
 
     friend auto operator==(const caller_limits&, const caller_limits&) -> bool = default;
 };
 
-/// Bounds of the rings between the gateway's threads.
+/// Capacities of the ring buffers between the gateway's threads.
 struct gateway_rings
 {
-    std::uint64_t requests = 1024;   ///< Requests that wait to be routed.
-    std::uint64_t deliveries = 8192; ///< Events of streams that wait for their caller's thread.
+    std::uint64_t requests = 1024;   ///< Requests waiting to be routed.
+    std::uint64_t deliveries = 8192; ///< Stream events waiting for their client's thread.
 
     friend auto operator==(const gateway_rings&, const gateway_rings&) -> bool = default;
 };
@@ -56,7 +56,7 @@
     friend auto operator==(const gateway_settings&, const gateway_settings&) -> bool = default;
 };
 
-/// The keys of a gateway's settings, bound to `target`, which must outlive the schema.
+/// Returns the schema of a gateway's settings file, bound to `target`, which must outlive it.
 [[nodiscard]] auto gateway_schema(gateway_settings& target) -> settings_schema;
 
 } // namespace dragonflymill
--- a/src/settings/settings_mistake.h
+++ b/src/settings/settings_mistake.h
@@ -8,21 +8,21 @@
 /// One mistake in a settings file.
 struct settings_mistake
 {
-    std::string file;    ///< The file, as it was named.
-    int line = 0;        ///< Its line, from 1; 0 where something is missing altogether.
-    std::string section; ///< The section, without brackets.
-    std::string key;     ///< The key; empty when the line has none.
-    std::string message; ///< What is wrong.
-    std::string allowed; ///< What may stand there; empty when nothing may.
-    std::string remedy;  ///< What to do.
+    std::string file;    ///< File name as given by the caller.
+    int line = 0;        ///< Line number from 1; 0 if the mistake has no line, as for a missing section.
+    std::string section; ///< Section without brackets.
+    std::string key;     ///< Key; empty if the line has none.
+    std::string message; ///< Description of the mistake.
+    std::string allowed; ///< Allowed values or names; empty if there are none.
+    std::string remedy;  ///< How to fix it.
 
     friend auto operator==(const settings_mistake&, const settings_mistake&) -> bool = default;
 };
 
-/// A mistake in one line: `file:line: [section] key: message; allowed: ...; remedy`.
+/// Formats a mistake as one line: `file:line: [section] key: message; allowed: ...; remedy`.
 [[nodiscard]] auto to_text(const settings_mistake& mistake) -> std::string;
 
-/// Every mistake on a line of its own.
+/// Formats mistakes, one per line.
 [[nodiscard]] auto to_text(const std::vector<settings_mistake>& mistakes) -> std::string;
 
 } // namespace dragonflymill
--- a/src/settings/settings_reader.cpp
+++ b/src/settings/settings_reader.cpp
@@ -12,10 +12,11 @@
 namespace {
 
 constexpr std::size_t max_file_bytes = std::size_t{1} << 20U;
-/// A misspelt name differs from the one meant by few letters; further away, a hint would mislead.
+/// Largest edit distance at which a known key is suggested for an unknown one. A misspelt name differs from
+/// the intended one in a few letters; a more distant suggestion would mislead.
 constexpr std::size_t max_suggestion_distance = 3;
 
-/// Number of letters to change, add or leave out to get from `a` to `b`.
+/// Levenshtein distance between `a` and `b`.
 auto edit_distance(std::string_view a, std::string_view b) -> std::size_t
 {
     std::vector<std::size_t> row(b.size() + 1);
@@ -32,7 +33,7 @@
     return row.back();
 }
 
-/// A key that was read: where it stands and what it says.
+/// Position of a key in the file.
 struct key_location
 {
     std::string section;
@@ -40,7 +41,7 @@
     int line = 0;
 };
 
-/// Reads one document against a schema and collects the mistakes.
+/// Assigns the values of one document through a schema and collects the mistakes.
 class settings_validator
 {
 public:
@@ -74,7 +75,8 @@
     }
 
 private:
-    /// The section's name as written; settings have no `[kind name]` sections, so one is not known.
+    /// Returns the section's name as written. Settings files have no `[kind name]` sections, so such a name
+    /// matches no section of the schema.
     static auto section_name(const ini_section& section) -> std::string
     {
         return section.name.empty() ? section.kind : section.kind + ' ' + section.name;
--- a/src/settings/settings_reference.h
+++ b/src/settings/settings_reference.h
@@ -6,10 +6,11 @@
 
 namespace dragonflymill {
 
-/// A settings file with every key: required ones to be filled in, the others commented out at their default.
+/// Returns a settings file with every key: required keys without a value, optional keys commented out with
+/// their default.
 [[nodiscard]] auto settings_template(const settings_schema& schema) -> std::string;
 
-/// The keys as rows of a Markdown table, a table for each section.
+/// Returns the keys as Markdown tables, one per section.
 [[nodiscard]] auto settings_tables(const settings_schema& schema) -> std::string;
 
 } // namespace dragonflymill
--- a/src/settings/settings_schema.cpp
+++ b/src/settings/settings_schema.cpp
@@ -57,7 +57,7 @@
             "write a value " + allowed};
 }
 
-/// Checks a parsed value against its range and stores it.
+/// Stores a parsed value if it is within its range; otherwise fails and leaves `target` unchanged.
 template <typename Parsed, typename T>
 auto store_in_range(std::string_view text, const result<Parsed>& parsed, setting_range<T> range,
                     const std::string& allowed, T& target) -> result<void>
@@ -82,7 +82,7 @@
            });
 }
 
-/// The elements of a comma-separated list, without blanks.
+/// Splits a comma-separated list and trims blanks from its elements.
 auto split_list(std::string_view text) -> std::vector<std::string_view>
 {
     std::vector<std::string_view> list;
--- a/src/settings/settings_schema.h
+++ b/src/settings/settings_schema.h
@@ -15,22 +15,22 @@
 
 namespace dragonflymill {
 
-/// Whether a settings file must name a key.
+/// Whether a settings file must contain a key.
 enum class presence
 {
-    optional, ///< The default stands when it is missing.
-    required, ///< Its absence is a mistake.
+    optional, ///< The default applies if the key is missing.
+    required, ///< A missing key is reported as a mistake.
 };
 
-/// Where a key stands and what it is for.
+/// Section, name and help text of a key.
 struct setting_name
 {
-    const char* section; ///< Section, without brackets.
-    const char* key;     ///< Key.
-    const char* help;    ///< What it does; one line.
+    const char* section; ///< Section without brackets.
+    const char* key;     ///< Name of the key.
+    const char* help;    ///< One-line description for the reference and the template.
 };
 
-/// Smallest and largest value of a key, both allowed.
+/// Inclusive range of a key's values.
 template <typename T>
 struct setting_range
 {
@@ -38,72 +38,74 @@
     T high; ///< Largest value allowed.
 };
 
-/// One name of a closed set of values.
+/// One name of an enumerated setting, with its value.
 template <typename T>
 struct setting_choice
 {
-    const char* name; ///< As written in the file.
-    T value;          ///< What it means.
+    const char* name; ///< Name in the settings file.
+    T value;          ///< Value that the name selects.
 };
 
-/// One key of a settings file: what may be written, and where it goes.
+/// One key of a settings file: its allowed values and the field that receives the value.
 struct setting_spec
 {
-    std::string section;                                  ///< Section, without brackets.
-    std::string key;                                      ///< Key.
-    std::string help;                                     ///< What it does.
-    std::string type;                                     ///< Kind of value, in words.
-    std::string allowed;                                  ///< What may be written, with its range.
-    std::string default_text;                             ///< The default as written; empty if there is none.
-    presence needed = presence::optional;                 ///< Whether it must be there.
-    std::function<result<void>(std::string_view)> assign; ///< Checks a text and stores its value.
+    std::string section;                                  ///< Section without brackets.
+    std::string key;                                      ///< Name of the key.
+    std::string help;                                     ///< One-line description.
+    std::string type;                                     ///< Type of the value, as text.
+    std::string allowed;                                  ///< Allowed values, as text.
+    std::string default_text;                             ///< Default as it would be written; empty if none.
+    presence needed = presence::optional;                 ///< Whether the key is required.
+    std::function<result<void>(std::string_view)> assign; ///< Parses and checks a text and stores the value.
 };
 
-/// A check over several keys, made when each is right by itself.
+/// A constraint between several keys, checked only if no single key has a mistake.
 struct setting_rule
 {
-    std::string section;         ///< Section of the key to point at.
-    std::string key;             ///< The key to point at.
-    std::string message;         ///< What is wrong when it does not hold.
-    std::string remedy;          ///< What to do then.
-    std::function<bool()> holds; ///< Whether it holds.
+    std::string section;         ///< Section of the key that the mistake is reported for.
+    std::string key;             ///< Key that the mistake is reported for.
+    std::string message;         ///< Description of the mistake if the constraint is violated.
+    std::string remedy;          ///< How to fix it.
+    std::function<bool()> holds; ///< Returns whether the constraint is satisfied.
 };
 
-/// The closed list of keys that a settings file may have, bound to the fields of a settings struct. A field's
-/// value at the time of binding is the key's default.
+/// The keys that a settings file may contain, bound to the fields of a settings struct. A field's value at
+/// the time of binding is the key's default. The bound fields must outlive the schema.
 class settings_schema
 {
 public:
-    /// Any text of one line.
+    /// Adds a key for any text of one line.
     void text(const setting_name& name, std::string& target, presence needed = presence::optional);
-    /// A name: letters, digits, `-`, `_` and `.`, at most 64 of them. For a text or a typed id.
+    /// Adds a key for a name of 1 to 64 letters, digits, `-`, `_` and `.`. `Id` is `std::string` or a typed
+    /// id.
     template <typename Id>
     void name(const setting_name& where, Id& target, presence needed = presence::optional)
     {
         name_into(where, needed, [&target](std::string text) { target = Id(std::move(text)); });
     }
-    /// As `name`, for a name that goes to more than one place; it has no default.
+    /// Adds a key for a name, as `name` does, that `store` receives. It has no default. Used if a name is
+    /// stored in several fields.
     void name_into(const setting_name& where, presence needed, std::function<void(std::string)> store);
-    /// Path of a file.
+    /// Adds a key for the path of a file.
     void path(const setting_name& name, std::string& target, presence needed = presence::optional);
-    /// Partners with their public keys, separated by commas; at most `most`.
+    /// Adds a key for up to `most` partners with their public keys, separated by commas.
     void partner_list(const setting_name& name, std::vector<partner_entry>& target, std::size_t most);
-    /// `yes` or `no`.
+    /// Adds a key for `yes` or `no`.
     void flag(const setting_name& name, bool& target);
-    /// A whole number.
+    /// Adds a key for a non-negative integer.
     void count(const setting_name& name, std::uint64_t& target, setting_range<std::uint64_t> range);
-    /// A time with its unit.
+    /// Adds a key for a time with its unit.
     void time(const setting_name& name, duration& target, setting_range<duration> range);
-    /// A size with its unit.
+    /// Adds a key for a size in bytes with its unit.
     void size(const setting_name& name, std::uint64_t& target, setting_range<std::uint64_t> range);
-    /// A rate with its unit.
+    /// Adds a key for a rate with its unit.
     void rate(const setting_name& name, double& target, setting_range<double> range);
-    /// An IP number with a port.
+    /// Adds a key for an IP address with a port.
     void address(const setting_name& name, socket_address& target, presence needed = presence::optional);
-    /// Several of them, separated by commas; at most `most`.
+    /// Adds a key for up to `most` IP addresses with ports, separated by commas.
     void address_list(const setting_name& name, std::vector<socket_address>& target, std::size_t most);
 
-    /// One of a closed set of names.
+    /// Adds a key for one of `choices`.
     template <typename T, std::size_t N>
     void choice(const setting_name& name, T& target, const setting_choice<T> (&choices)[N]) // NOLINT
     {
@@ -119,12 +121,12 @@
                    [&target, values](std::size_t index) { target = values[index]; });
     }
 
-    /// Adds a check over several keys.
+    /// Adds a constraint between several keys.
     void rule(setting_rule checked);
 
-    /// Every key, in order of declaration.
+    /// Returns every key in order of declaration.
     [[nodiscard]] auto specs() const -> std::span<const setting_spec> { return specs_; }
-    /// Every rule, in order of declaration.
+    /// Returns every rule in order of declaration.
     [[nodiscard]] auto rules() const -> std::span<const setting_rule> { return rules_; }
 
 private:
--- a/src/settings/sidecar_settings.h
+++ b/src/settings/sidecar_settings.h
@@ -4,16 +4,16 @@
 
 namespace dragonflymill {
 
-/// The upstream beside which a sidecar stands.
+/// The upstream that the sidecar serves.
 struct upstream_settings
 {
-    upstream_id id;                  ///< Its name in the bundle.
-    socket_address address;          ///< Its own HTTP address.
-    duration connect_timeout = 1s;   ///< For opening a connection to it.
-    duration state_interval = 250ms; ///< Between two readings of its state.
-    duration stream_silence = 2s;    ///< Shortest silence of a stream that counts as lost.
-    duration first_token{0}; ///< First-token time of an empty prompt when warm; 0 if it was not measured.
-    double prefill_rate = 0; ///< Tokens of prefill a second when warm; 0 if it was not measured.
+    upstream_id id;                  ///< Name of the upstream in the bundle.
+    socket_address address;          ///< HTTP address of the upstream.
+    duration connect_timeout = 1s;   ///< To open a connection to the upstream.
+    duration state_interval = 250ms; ///< Between two queries of the upstream's state.
+    duration stream_silence = 2s;    ///< Minimum time without events before a stream counts as stalled.
+    duration first_token{0};         ///< TTFT of an empty prompt when warm; 0 if unknown.
+    double prefill_rate = 0;         ///< Prefill tokens per second when warm; 0 if unknown.
 
     friend auto operator==(const upstream_settings&, const upstream_settings&) -> bool = default;
 };
@@ -21,17 +21,17 @@
 /// Leases that a sidecar grants and holds.
 struct lease_settings
 {
-    duration permit = 40s;         ///< How long a permit holds without renewal.
-    duration order = 5s;           ///< How long the right to give orders holds.
-    duration cancel_retry = 200ms; ///< Between two cancels that the engine has not confirmed.
+    duration permit = 40s;         ///< Lifetime of a permit without renewal.
+    duration order = 5s;           ///< Term of the lease to send orders; a successor waits this long.
+    duration cancel_retry = 200ms; ///< Between two cancel attempts until the engine confirms one.
 
     friend auto operator==(const lease_settings&, const lease_settings&) -> bool = default;
 };
 
-/// The record of calls that may not be repeated.
+/// Records of calls that must not run twice (idempotency keys).
 struct once_settings
 {
-    std::uint64_t max_bytes = 32U << 20U; ///< Bytes of records and stored answers.
+    std::uint64_t max_bytes = 32U << 20U; ///< Maximum size of records and stored responses in bytes.
     std::string key_file;                 ///< File with the key that signs tickets.
 
     friend auto operator==(const once_settings&, const once_settings&) -> bool = default;
@@ -56,7 +56,7 @@
     friend auto operator==(const sidecar_settings&, const sidecar_settings&) -> bool = default;
 };
 
-/// The keys of a sidecar's settings, bound to `target`, which must outlive the schema.
+/// Returns the schema of a sidecar's settings file, bound to `target`, which must outlive it.
 [[nodiscard]] auto sidecar_schema(sidecar_settings& target) -> settings_schema;
 
 } // namespace dragonflymill
--- a/src/settings/socket_endpoint.h
+++ b/src/settings/socket_endpoint.h
@@ -7,19 +7,19 @@
 
 namespace dragonflymill {
 
-/// Where to connect or listen over TCP; `invalid_input` if the address is empty or its number can't be read.
+/// Converts an address to a TCP endpoint; fails with `invalid_input` if its IP address is empty or invalid.
 [[nodiscard]] auto tcp_endpoint(const socket_address& address) -> result<boost::asio::ip::tcp::endpoint>;
-/// Where to send or receive datagrams; fails as `tcp_endpoint` does.
+/// Converts an address to a UDP endpoint; fails as `tcp_endpoint` does.
 [[nodiscard]] auto udp_endpoint(const socket_address& address) -> result<boost::asio::ip::udp::endpoint>;
 
-/// Reads `127.0.0.1:8080` or `[::1]:8080` as a place to connect to or listen at over TCP.
+/// Parses `127.0.0.1:8080` or `[::1]:8080` as a TCP endpoint; fails with `invalid_input` on any other text.
 [[nodiscard]] auto parse_tcp_endpoint(std::string_view text) -> result<boost::asio::ip::tcp::endpoint>;
-/// Reads the same as a place to send datagrams to.
+/// Parses the same text as a UDP endpoint.
 [[nodiscard]] auto parse_udp_endpoint(std::string_view text) -> result<boost::asio::ip::udp::endpoint>;
 
-/// Writes an endpoint the way `parse_socket_address` reads it.
+/// Formats an endpoint as `parse_socket_address` reads it.
 [[nodiscard]] auto to_text(const boost::asio::ip::tcp::endpoint& endpoint) -> std::string;
-/// Writes an endpoint the way `parse_socket_address` reads it.
+/// Formats an endpoint as `parse_socket_address` reads it.
 [[nodiscard]] auto to_text(const boost::asio::ip::udp::endpoint& endpoint) -> std::string;
 
 } // namespace dragonflymill
--- a/tests/app/admin_test.cpp
+++ b/tests/app/admin_test.cpp
@@ -12,7 +12,7 @@
 #include <sstream>
 #include <unistd.h>
 
-// Last: Criterion's macro Test would change the meaning of a name in the headers of Boost.Beast.
+// Included last: Criterion's macro Test collides with a name in the headers of Boost.Beast.
 #include "bundle/signing.h"
 
 namespace dragonflymill::app {
@@ -32,7 +32,8 @@
     return status;
 }
 
-/// A process's admin address on a free port, which counts what it is asked.
+/// An admin server on a free port that counts drain requests, records the pushed bundle's version and returns
+/// a fixed result for both.
 class admin_process
 {
 public:
@@ -77,7 +78,7 @@
          [](std::uint64_t) {}}};
 };
 
-/// What one command did.
+/// Exit code and output of one command.
 struct command_run
 {
     exit_code code;
@@ -99,7 +100,7 @@
     return error(error_kind::unauthorized, "the signature of birchlog is missing or wrong", "sign it");
 }
 
-/// A bundle, version 7, in a file that is gone when the test ends.
+/// A temporary file with a package of bundle version 7, signed by both partners by default.
 class bundle_file
 {
 public:
@@ -127,13 +128,13 @@
 
 } // namespace
 
-Test(process_status, json_keeps_everything)
+Test(process_status, survives_a_json_round_trip)
 {
     const auto read = parse_process_status(to_json(sample_status()));
     cr_assert(read.has_value());
     cr_assert(read.value() == sample_status());
-    for (const char* wrong : {"", "{}", "[]", R"({"process":1})"}) {
-        cr_assert(parse_process_status(wrong).error().kind() == error_kind::corrupt);
+    for (const char* invalid : {"", "{}", "[]", R"({"process":1})"}) {
+        cr_assert(parse_process_status(invalid).error().kind() == error_kind::corrupt);
     }
 }
 
@@ -150,26 +151,27 @@
     cr_assert(parse_process_status(json.out).value() == sample_status());
 }
 
-Test(admin, a_push_reaches_every_process_though_one_is_gone)
+Test(admin, push_continues_after_an_unreachable_process)
 {
-    // One of three processes has died: its port is closed. The others must still get the bundle, and the
-    // operator must see which one did not.
+    // Guards against a push that stops at the first unreachable process. The second of three processes has
+    // closed its port; the others must receive the bundle, and the error must name the unreachable one.
     const admin_process first{success()};
     const admin_process last{success()};
-    std::string gone;
+    std::string closed_address;
     {
-        const admin_process dead{success()};
-        gone = dead.address();
+        const admin_process stopped{success()};
+        closed_address = stopped.address();
     }
     const bundle_file file;
-    const auto pushed =
-        run(run_bundle_push, {file.path(), "--to", first.address(), "--to", gone, "--to", last.address()});
+    const auto pushed = run(run_bundle_push, {file.path(), "--to", first.address(), "--to", closed_address,
+                                              "--to", last.address()});
     cr_assert(pushed.code == exit_code::unreachable);
     cr_assert(first.bundle() == 7 && last.bundle() == 7);
-    cr_assert(pushed.err.find(gone + " can't be reached") != std::string::npos, "%s", pushed.err.c_str());
+    cr_assert(pushed.err.find(closed_address + " can't be reached") != std::string::npos, "%s",
+              pushed.err.c_str());
 }
 
-Test(admin, a_refusal_comes_with_the_process_s_own_words)
+Test(admin, push_reports_the_process_s_error_message)
 {
     const admin_process process{unauthorized_error()};
     const bundle_file file;
@@ -179,7 +181,7 @@
               "%s", pushed.err.c_str());
 }
 
-Test(admin, a_bundle_that_is_not_signed_by_both_is_not_sent)
+Test(admin, push_sends_no_bundle_without_both_signatures)
 {
     const admin_process process{success()};
     const bundle_file file(std::vector<partner_signature>{});
@@ -189,7 +191,7 @@
     cr_assert(process.bundle() == 0);
 }
 
-Test(admin, drain_is_asked_for_once)
+Test(admin, drain_sends_one_request)
 {
     const admin_process process{success()};
     cr_assert(run(run_drain, {process.address()}).out == process.address() + ": draining\n");
@@ -197,7 +199,7 @@
     cr_assert(run(run_drain, {"localhost:1"}).code == exit_code::usage);
 }
 
-Test(admin, what_is_not_offered_is_refused)
+Test(admin, endpoint_rejects_invalid_requests_and_reports_handler_errors)
 {
     const admin_handlers handlers{sample_status, [] { return unauthorized_error(); },
                                   [](const bundle_package&) { return unauthorized_error(); }};
--- a/tests/app/command_cordon_test.cpp
+++ b/tests/app/command_cordon_test.cpp
@@ -15,7 +15,7 @@
 using test::eventually;
 using test::plane_fixture;
 
-/// What one run of the command did.
+/// Exit code and error output of one run of the command.
 struct cordon_run
 {
     exit_code code;
@@ -31,7 +31,7 @@
     return {code, err.str()};
 }
 
-/// A key file that is gone when the test ends.
+/// A temporary key file.
 class key_file
 {
 public:
@@ -53,7 +53,7 @@
     std::string path_;
 };
 
-/// Whether the process has failure domain `a` out of service.
+/// Whether failure domain `a` is the only drained domain in the process's snapshot.
 auto has_cordoned(const plane_fixture& process) -> bool
 {
     const auto seen = process.snapshot();
@@ -62,7 +62,7 @@
 
 } // namespace
 
-Test(command_cordon, a_failure_domain_goes_out_and_comes_back)
+Test(command_cordon, takes_a_failure_domain_out_of_service_and_back)
 {
     const plane_fixture process(1);
     const key_file key(plane_fixture::key);
@@ -76,18 +76,18 @@
     cr_assert(eventually([&] { return !has_cordoned(process); }));
 }
 
-Test(command_cordon, only_who_has_the_fleets_key_is_listened_to)
+Test(command_cordon, is_refused_with_another_key_than_the_fleet_s)
 {
     const plane_fixture process(1);
-    const key_file wrong("another key of this length");
-    const auto refused = run(
-        {"--failure-domain", "a", "--to", process.plane->self().peer_address, "--key-file", wrong.path()});
+    const key_file other_key("another key of this length");
+    const auto refused = run({"--failure-domain", "a", "--to", process.plane->self().peer_address,
+                              "--key-file", other_key.path()});
     cr_assert(refused.code == exit_code::refused);
     cr_assert(refused.err.starts_with(process.plane->self().peer_address), "%s", refused.err.c_str());
     cr_assert(!has_cordoned(process));
 }
 
-Test(command_cordon, one_subject_a_key_and_a_target_are_needed)
+Test(command_cordon, requires_one_subject_a_key_and_a_target)
 {
     cr_assert(run({"--failure-domain", "a"}).code == exit_code::usage);
     cr_assert(run({"--failure-domain", "a", "--host", "h", "--key-file", "k", "--to", "127.0.0.1:1"}).code ==
--- a/tests/app/command_explain_test.cpp
+++ b/tests/app/command_explain_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// A log file that goes with the test.
+/// A temporary log file.
 class log_file
 {
 public:
@@ -40,9 +40,10 @@
 
 } // namespace
 
-// A member complains about one request. Its lines stand in the logs of two gateways, among thousands of
-// others and behind a collector's prefix; on-call engineers want them in one order.
-Test(command_explain, lines_of_a_request_come_in_order_over_all_logs)
+// The lines of one request are spread over the logs of two gateways, among other requests' lines, behind a
+// log collector's prefix and next to lines that aren't JSON. A longer id with the same prefix (r70) must not
+// match.
+Test(command_explain, prints_a_request_s_lines_of_all_logs_ordered_by_time)
 {
     const log_file one("collector: " + log_line("T2", "g1", "call_refused", "r7") +
                        log_line("T1", "g1", "other", "r70") + "not json r7\n{broken r7\n");
@@ -55,7 +56,7 @@
               out.str().c_str());
 }
 
-Test(command_explain, what_can_not_be_read_or_found_is_said)
+Test(command_explain, fails_if_no_line_matches_or_a_log_is_unreadable)
 {
     const log_file empty("");
     std::ostringstream out;
--- a/tests/app/examples_test.cpp
+++ b/tests/app/examples_test.cpp
@@ -17,7 +17,7 @@
 
 constexpr std::size_t max_bundle_bytes = 1U << 20U;
 
-/// One of the deployments under examples/, at today's sizes.
+/// A deployment under examples/ with the expected numbers of entries in its bundle.
 struct deployment
 {
     char name[16];
@@ -63,17 +63,17 @@
         content.domains.begin(), content.domains.end(), [&process](const failure_domain_entry& entry) {
             return entry.id == process.failure_domain && entry.region == process.region;
         });
-    cr_assert(known, "the failure domain of the settings is in the bundle, in the same region");
+    cr_assert(known, "the bundle lacks the failure domain of the settings, or has it in another region");
 }
 
 } // namespace
 
-ParameterizedTestParameters(examples, checks_accept_them_and_their_files_agree)
+ParameterizedTestParameters(examples, pass_the_checks_and_agree_with_each_other)
 {
     return cr_make_param_array(deployment, deployments, std::size(deployments));
 }
 
-ParameterizedTest(deployment* example, examples, checks_accept_them_and_their_files_agree)
+ParameterizedTest(deployment* example, examples, pass_the_checks_and_agree_with_each_other)
 {
     expect_accepted({"bundle", "check", path_of(*example, "bundle.ini")});
     expect_accepted({"gateway", "--config", path_of(*example, "gateway.ini"), "--check"});
@@ -100,12 +100,12 @@
     }
 }
 
-ParameterizedTestParameters(examples, every_host_and_address_is_of_one_upstream)
+ParameterizedTestParameters(examples, give_each_upstream_its_own_host_and_address)
 {
     return cr_make_param_array(deployment, deployments, std::size(deployments));
 }
 
-ParameterizedTest(deployment* example, examples, every_host_and_address_is_of_one_upstream)
+ParameterizedTest(deployment* example, examples, give_each_upstream_its_own_host_and_address)
 {
     const auto content = bundle_of(*example);
     std::set<std::string> addresses;
--- a/tests/app/installed_tree_test.cpp
+++ b/tests/app/installed_tree_test.cpp
@@ -28,7 +28,7 @@
     return text.str();
 }
 
-/// Runs a program with its output in `log`; its exit code, or -1 if it was killed.
+/// Runs a program with its output written to `log`. Returns its exit code, or -1 if a signal killed it.
 auto run(std::vector<std::string> words, const std::string& log) -> int
 {
     std::vector<char*> pointers;
@@ -60,7 +60,9 @@
 
 } // namespace
 
-Test(installed_tree, the_example_builds_and_runs_against_it)
+// Guards against a library installation that lacks headers or CMake files: the example is built and run
+// against the installed tree.
+Test(installed_tree, builds_and_runs_the_example)
 {
     std::string folder = (std::filesystem::temp_directory_path() / "dragonflymill-install-XXXXXX").string();
     cr_assert(mkdtemp(folder.data()) != nullptr);
--- a/tests/app/program_test.cpp
+++ b/tests/app/program_test.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// What one run of the program did.
+/// Exit code and output of one run of the program.
 struct program_run
 {
     exit_code code;
@@ -31,7 +31,7 @@
     return {code, out.str(), err.str()};
 }
 
-/// A folder that is gone when the test ends.
+/// A temporary folder, removed by the destructor.
 class temporary_folder
 {
 public:
@@ -67,7 +67,7 @@
     return text.str();
 }
 
-/// `text` with a line put behind the first line that reads `after`.
+/// Returns `text` with `line` inserted after the first line that ends with `after`.
 auto with_line(std::string text, const std::string& after, const std::string& line) -> std::string
 {
     const std::size_t at = text.find(after + '\n');
@@ -75,7 +75,7 @@
     return text.insert(at + after.size() + 1, line + '\n');
 }
 
-/// A bundle's source text with the public keys of two new key files, and its signing so far.
+/// A folder with the source text of a bundle and key files of both partners, whose public keys it names.
 struct signing
 {
     temporary_folder folder;
@@ -115,7 +115,7 @@
 
 } // namespace
 
-Test(program, every_command_has_help_with_an_example)
+Test(program, prints_help_with_an_example_for_every_command)
 {
     std::vector<arguments> all{{"bundle", "new"},  {"bundle", "check"}, {"bundle", "diff"},
                                {"bundle", "sign"}, {"bundle", "key"},   {"bundle", "verify"},
@@ -132,7 +132,7 @@
     }
 }
 
-Test(program, docs_name_every_command_and_exit_code)
+Test(program, has_every_command_and_exit_code_in_the_docs)
 {
     const std::string docs = read(DRAGONFLYMILL_SOURCE_DIR "/docs/cli.md");
     for (const command& c : program_commands()) {
@@ -144,7 +144,7 @@
     }
 }
 
-Test(program, wrong_words_are_named_and_nothing_runs)
+Test(program, rejects_invalid_command_lines_without_output)
 {
     for (const arguments& words : {arguments{},
                                    {"nonsense"},
@@ -161,13 +161,14 @@
     cr_assert(run({"--version"}).out == run({"version"}).out);
 }
 
-Test(program, a_bundle_goes_from_new_to_signed_by_both)
+Test(program, signs_a_new_bundle_with_both_partners)
 {
     const signing s;
     cr_assert(run({"bundle", "check", s.folder.file("bundle.ini")})
                   .out.starts_with("version 1: 1 failure domains"));
     cr_assert(s.sign("bundle.ini", "half.signed", "cooperative", "c.pem").code == exit_code::success);
-    cr_assert(s.verify("half.signed").code == exit_code::refused, "one signature is not enough");
+    cr_assert(s.verify("half.signed").code == exit_code::refused,
+              "a bundle with one of two signatures was accepted");
     cr_assert(
         s.sign("half.signed", "bundle.signed", "birchlog", "b.pem").out.ends_with("2 of 2 signatures\n"));
     const auto verified = s.verify("bundle.signed");
@@ -175,7 +176,7 @@
     cr_assert(run({"bundle", "check", s.folder.file("bundle.signed")}).code == exit_code::success);
 }
 
-Test(program, a_changed_byte_of_a_signed_bundle_is_found)
+Test(program, detects_a_changed_or_truncated_signed_bundle)
 {
     const signing s;
     cr_assert(s.sign("bundle.ini", "half.signed", "cooperative", "c.pem").code == exit_code::success);
@@ -191,7 +192,7 @@
     cr_assert(s.verify("cut.signed").code == exit_code::invalid);
 }
 
-Test(program, a_partner_cannot_sign_for_the_other)
+Test(program, rejects_a_signature_with_the_other_partner_s_key)
 {
     const signing s;
     const auto wrong = s.sign("bundle.ini", "half.signed", "birchlog", "c.pem");
@@ -199,7 +200,7 @@
     cr_assert(!std::filesystem::exists(s.folder.file("half.signed")));
 }
 
-Test(program, a_key_file_is_private_and_never_overwritten)
+Test(program, keeps_key_files_private_and_never_overwrites_them)
 {
     const signing s;
     struct stat status
@@ -211,7 +212,7 @@
     cr_assert(run({"bundle", "key", s.folder.file("c.pem")}).out == s.cooperative_key + '\n');
 }
 
-Test(program, diff_shows_what_a_new_bundle_changes)
+Test(program, prints_the_differences_between_two_bundles)
 {
     const signing s;
     const std::string source = read(s.folder.file("bundle.ini"));
@@ -225,7 +226,7 @@
     cr_assert(run({"bundle", "diff", s.folder.file("bundle.ini"), s.folder.file("bundle.ini")}).out.empty());
 }
 
-Test(program, check_names_every_mistake_of_a_bundle)
+Test(program, reports_every_mistake_in_a_bundle)
 {
     const signing s;
     write(s.folder.file("wrong.ini"),
@@ -236,7 +237,7 @@
     cr_assert(run({"bundle", "check", "/nonexistent"}).code == exit_code::unreachable);
 }
 
-Test(program, timeline_writes_both_files_and_says_what_it_read)
+Test(program, writes_the_trace_and_the_page_of_a_timeline)
 {
     const temporary_folder folder;
     const timeline_event event{
--- a/tests/settings/settings_reader_test.cpp
+++ b/tests/settings/settings_reader_test.cpp
@@ -35,7 +35,7 @@
 
 } // namespace
 
-Test(settings_reader, values_with_units_reach_their_fields)
+Test(settings_reader, stores_values_with_units_in_their_fields)
 {
     gateway_settings settings;
     const std::string text =
@@ -45,7 +45,7 @@
     const auto mistakes = read_settings(text, "gw.ini", gateway_schema(settings));
     cr_assert(mistakes.empty(), "%s", to_text(mistakes).c_str());
     cr_assert(settings.process.name == process_id("gw-1"));
-    cr_assert(settings.log.process == "gw-1", "every line of the log names the process");
+    cr_assert(settings.log.process == "gw-1", "the process name is not stored in the log settings");
     cr_assert(to_text(settings.http_listen) == "127.0.0.1:8080");
     cr_assert(settings.timeouts.request == 30s);
     cr_assert(settings.timeouts.header == 500ms);
@@ -54,17 +54,17 @@
     cr_assert(to_text(settings.control.seeds[1]) == "[::1]:7001");
     cr_assert(settings.control.standalone);
     cr_assert(settings.log.level == log_level::debug);
-    cr_assert(settings.heartbeat == heartbeat_settings{}, "what is not named keeps its default");
+    cr_assert(settings.heartbeat == heartbeat_settings{}, "keys that are not set keep their defaults");
 }
 
-Test(settings_reader, all_mistakes_are_named_at_once)
+Test(settings_reader, reports_all_mistakes_in_line_order)
 {
     gateway_settings settings;
     const std::string text =
         "[process]\nname = gw 1\nhost = h1\nregion = north\n[listen]\nhttp = localhost:80\n"
         "[timeouts]\nheadr = 1s\nbody = 30\n[limit]\nx = 1\nnonsense\n";
     const auto mistakes = read_settings(text, "gw.ini", gateway_schema(settings));
-    // Line 0: [once] key_file is missing, and there is no [once] to point at.
+    // Line 0 is for the missing [once] key_file, since the text has no [once] section.
     const std::vector<int> lines{0, 1, 2, 6, 8, 9, 11, 12};
     cr_assert(mistakes.size() == lines.size(), "%s", to_text(mistakes).c_str());
     for (std::size_t i = 0; i < lines.size(); ++i) {
@@ -72,7 +72,7 @@
     }
 }
 
-Test(settings_reader, a_wrong_unit_says_what_is_allowed)
+Test(settings_reader, reports_the_allowed_range_for_a_missing_unit)
 {
     const std::string remedy = parse_duration("30").error().remedy();
     expect_single_mistake("[timeouts]\nbody = 30\n",
@@ -80,40 +80,40 @@
                               remedy);
 }
 
-Test(settings_reader, a_value_out_of_range_says_the_range)
+Test(settings_reader, reports_the_range_for_a_value_out_of_range)
 {
     expect_single_mistake("[heartbeat]\nmisses = 1\n",
                           "gw.ini:11: [heartbeat] misses: '1' is out of range; allowed: from 2 "
                           "to 20; write a value from 2 to 20");
 }
 
-Test(settings_reader, an_unknown_key_names_the_known_ones_and_the_nearest)
+Test(settings_reader, lists_the_known_keys_and_suggests_the_nearest_for_an_unknown_key)
 {
     expect_single_mistake("[heartbeat]\nmises = 3\n",
                           "gw.ini:11: [heartbeat] mises: the key is not known; allowed: interval, "
                           "misses, renewal; did you mean [heartbeat] misses?");
 }
 
-Test(settings_reader, a_missing_key_is_named_with_its_section)
+Test(settings_reader, reports_missing_keys_at_their_section)
 {
     gateway_settings settings;
     const auto mistakes =
         read_settings("[process]\nname = g\nhost = h\nregion = r\n", "g", gateway_schema(settings));
     cr_assert(mistakes.size() == 3, "%s", to_text(mistakes).c_str());
     cr_assert(mistakes[0].key == "http");
-    cr_assert(mistakes[0].line == 0, "there is no [listen] to point at");
+    cr_assert(mistakes[0].line == 0, "the text has no [listen] section");
     cr_assert(mistakes[1].key == "key_file");
     cr_assert(mistakes[2].key == "failure_domain");
     cr_assert(mistakes[2].line == 1);
 }
 
-Test(settings_reader, a_repeated_key_names_both_lines)
+Test(settings_reader, reports_both_lines_of_a_repeated_key)
 {
     expect_single_mistake("[log]\nlevel = info\nlevel = debug\n",
                           "gw.ini:12: [log] level: the key was already set in line 11; leave one of the two");
 }
 
-Test(settings_reader, rules_over_several_keys_hold)
+Test(settings_reader, reports_a_violated_constraint_between_keys)
 {
     expect_single_mistake(
         "[timeouts]\nrequest = 1s\nheader = 2s\n",
@@ -121,7 +121,7 @@
         "timeouts.request");
 }
 
-Test(settings_reader, partners_come_with_their_public_keys)
+Test(settings_reader, reads_partners_with_their_public_keys)
 {
     const std::string key(64, 'a');
     gateway_settings settings;
@@ -131,14 +131,14 @@
     cr_assert(settings.bundle.partners.size() == 2);
     cr_assert(settings.bundle.partners[1].name == "birchlog");
     cr_assert(settings.bundle.partners[1].public_key == key);
-    const std::vector<std::string> wrong_ones{"formosa", "formosa:", "formosa:12", ":" + key,
-                                              "a:" + key + ",b:" + key + ",c:" + key};
-    for (const std::string& wrong : wrong_ones) {
-        cr_assert(mistakes_for("[bundle]\npartners = " + wrong + "\n").size() == 1, "%s", wrong.c_str());
+    const std::vector<std::string> invalid_lists{"formosa", "formosa:", "formosa:12", ":" + key,
+                                                 "a:" + key + ",b:" + key + ",c:" + key};
+    for (const std::string& invalid : invalid_lists) {
+        cr_assert(mistakes_for("[bundle]\npartners = " + invalid + "\n").size() == 1, "%s", invalid.c_str());
     }
 }
 
-Test(settings_reader, a_missing_file_is_named)
+Test(settings_reader, reports_a_missing_file)
 {
     gateway_settings settings;
     const auto mistakes = read_settings_file("/nonexistent/gw.ini", gateway_schema(settings));
@@ -146,7 +146,7 @@
     cr_assert(mistakes[0].message == "the file can't be opened");
 }
 
-Test(settings_reader, a_sidecar_reads_its_own_keys)
+Test(settings_reader, reads_the_keys_of_a_sidecar)
 {
     sidecar_settings settings;
     const auto mistakes =
@@ -161,16 +161,16 @@
     cr_assert(settings.once.key_file == "k");
 }
 
-Test(socket_address, only_ip_numbers_with_ports_are_read)
+Test(socket_address, parses_only_ip_addresses_with_ports)
 {
-    for (const char* wrong : {"", "127.0.0.1", "localhost:80", "127.0.0.1:", "127.0.0.1:70000", "::1:80",
-                              "[127.0.0.1]:80", "1.2.3:80"}) {
-        cr_assert(parse_socket_address(wrong).has_error(), "%s", wrong);
+    for (const char* invalid : {"", "127.0.0.1", "localhost:80", "127.0.0.1:", "127.0.0.1:70000", "::1:80",
+                                "[127.0.0.1]:80", "1.2.3:80"}) {
+        cr_assert(parse_socket_address(invalid).has_error(), "%s", invalid);
     }
-    for (const char* right : {"127.0.0.1:0", "[::1]:8080", "0.0.0.0:65535"}) {
-        const auto read = parse_socket_address(right);
-        cr_assert(read.has_value(), "%s", right);
-        cr_assert(to_text(read.value()) == right);
+    for (const char* valid : {"127.0.0.1:0", "[::1]:8080", "0.0.0.0:65535"}) {
+        const auto read = parse_socket_address(valid);
+        cr_assert(read.has_value(), "%s", valid);
+        cr_assert(to_text(read.value()) == valid);
     }
 }
 
--- a/tests/settings/settings_reference_test.cpp
+++ b/tests/settings/settings_reference_test.cpp
@@ -20,7 +20,7 @@
     return text.str();
 }
 
-/// The template with every default in force instead of commented out.
+/// Returns the template with every commented-out default enabled.
 auto uncommented(const std::string& text) -> std::string
 {
     std::istringstream in(text);
@@ -34,7 +34,7 @@
 
 } // namespace
 
-Test(settings_reference, docs_hold_the_tables_of_both_roles)
+Test(settings_reference, has_the_tables_of_both_roles_in_the_docs)
 {
     gateway_settings gateway;
     sidecar_settings sidecar;
@@ -50,7 +50,7 @@
     }
 }
 
-Test(settings_reference, defaults_as_written_are_within_their_own_ranges)
+Test(settings_reference, writes_defaults_that_its_reader_accepts)
 {
     gateway_settings settings;
     const std::string text = uncommented(settings_template(gateway_schema(settings)));
