--- a/src/core/units.cpp
+++ b/src/core/units.cpp
@@ -45,7 +45,7 @@
     return c == ' ' || c == '\t' || c == '\r' || c == '\n';
 }
 
-auto digits(std::string_view text) -> std::optional<std::int64_t>
+auto parse_digits(std::string_view text) -> std::optional<std::int64_t>
 {
     std::int64_t value = 0;
     const auto* end = text.data() + text.size();
@@ -56,14 +56,14 @@
     return value <= max_count ? std::optional(value) : std::nullopt;
 }
 
-auto with_unit(std::string_view text, std::span<const unit> units) -> std::optional<std::int64_t>
+auto parse_with_unit(std::string_view text, std::span<const unit> units) -> std::optional<std::int64_t>
 {
     const auto trimmed = trim(text);
     for (const auto& [suffix, factor] : units) {
         if (!trimmed.ends_with(suffix)) {
             continue;
         }
-        const auto value = digits(trimmed.substr(0, trimmed.size() - suffix.size()));
+        const auto value = parse_digits(trimmed.substr(0, trimmed.size() - suffix.size()));
         if (value && *value <= std::numeric_limits<std::int64_t>::max() / factor) {
             return *value * factor;
         }
@@ -74,13 +74,13 @@
     return std::nullopt;
 }
 
-auto unreadable(std::string_view what, std::string_view text, std::string_view remedy) -> error
+auto parse_error(std::string_view what, std::string_view text, std::string_view remedy) -> error
 {
     return {error_kind::invalid_input, "'" + std::string(text) + "' is not " + std::string(what),
             "write " + std::string(remedy)};
 }
 
-auto days_of(std::int64_t year, std::int64_t month, std::int64_t day) -> std::int64_t
+auto days_since_epoch(std::int64_t year, std::int64_t month, std::int64_t day) -> std::int64_t
 {
     const std::chrono::year_month_day date{std::chrono::year(static_cast<int>(year)),
                                            std::chrono::month(static_cast<unsigned>(month)),
@@ -98,7 +98,7 @@
     std::int64_t second = 0;
 };
 
-auto read_fields(std::string_view text) -> std::optional<civil_fields>
+auto parse_civil_fields(std::string_view text) -> std::optional<civil_fields>
 {
     constexpr std::string_view pattern = "dddd-dd-ddTdd:dd:ddZ";
     if (text.size() != pattern.size()) {
@@ -111,12 +111,12 @@
         }
     }
     const auto field = [text](std::size_t at, std::size_t size) {
-        return digits(text.substr(at, size)).value_or(0);
+        return parse_digits(text.substr(at, size)).value_or(0);
     };
     return civil_fields{field(0, 4), field(5, 2), field(8, 2), field(11, 2), field(14, 2), field(17, 2)};
 }
 
-auto is_civil(const civil_fields& at) -> bool
+auto is_valid_civil(const civil_fields& at) -> bool
 {
     const std::chrono::year_month_day date{std::chrono::year(static_cast<int>(at.year)),
                                            std::chrono::month(static_cast<unsigned>(at.month)),
@@ -128,10 +128,10 @@
 
 auto to_lower(std::string_view text) -> std::string
 {
-    std::string small(text);
-    std::transform(small.begin(), small.end(), small.begin(),
+    std::string lowered(text);
+    std::transform(lowered.begin(), lowered.end(), lowered.begin(),
                    [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
-    return small;
+    return lowered;
 }
 
 auto trim(std::string_view text) -> std::string_view
@@ -147,34 +147,35 @@
 
 auto parse_duration(std::string_view text) -> result<duration>
 {
-    const auto value = with_unit(text, duration_units);
+    const auto value = parse_with_unit(text, duration_units);
     if (!value) {
-        return unreadable("a time", text, "a whole number and us, ms, s, m, h or d, such as 30s");
+        return parse_error("a time", text, "a whole number and us, ms, s, m, h or d, such as 30s");
     }
     return duration(*value);
 }
 
 auto parse_tokens(std::string_view text) -> result<std::int64_t>
 {
-    const auto value = with_unit(text, token_units);
+    const auto value = parse_with_unit(text, token_units);
     if (!value) {
-        return unreadable("a count of tokens", text, "a whole number, with k or m if wanted, such as 64k");
+        return parse_error("a count of tokens", text, "a whole number, with k or m if wanted, such as 64k");
     }
     return *value;
 }
 
 auto parse_bytes(std::string_view text) -> result<std::int64_t>
 {
-    const auto value = with_unit(text, byte_units);
+    const auto value = parse_with_unit(text, byte_units);
     if (!value) {
-        return unreadable("a size", text, "a whole number, with k, m or g if wanted, such as 8m");
+        return parse_error("a size", text, "a whole number, with k, m or g if wanted, such as 8m");
     }
     return *value;
 }
 
 auto parse_rate(std::string_view text) -> result<double>
 {
-    const auto failed = unreadable("a rate", text, "a number, k or m if wanted, and /s or /m, such as 200/s");
+    const auto failed =
+        parse_error("a rate", text, "a number, k or m if wanted, and /s or /m, such as 200/s");
     auto rest = trim(text);
     double scale = 1;
     if (rest.ends_with("/m")) {
@@ -199,9 +200,9 @@
 
 auto parse_count(std::string_view text) -> result<std::int64_t>
 {
-    const auto value = digits(trim(text));
+    const auto value = parse_digits(trim(text));
     if (!value) {
-        return unreadable("a whole number", text, "digits only, such as 16");
+        return parse_error("a whole number", text, "digits only, such as 16");
     }
     return *value;
 }
@@ -215,16 +216,16 @@
     if (word == "no" || word == "false") {
         return false;
     }
-    return unreadable("yes or no", text, "yes or no");
+    return parse_error("yes or no", text, "yes or no");
 }
 
 auto parse_wall_instant(std::string_view text) -> result<wall_instant>
 {
-    const auto fields = read_fields(trim(text));
-    if (!fields || !is_civil(*fields)) {
-        return unreadable("a moment", text, "UTC as in 2027-12-31T23:59:59Z");
+    const auto fields = parse_civil_fields(trim(text));
+    if (!fields || !is_valid_civil(*fields)) {
+        return parse_error("a moment", text, "UTC as in 2027-12-31T23:59:59Z");
     }
-    const auto days = days_of(fields->year, fields->month, fields->day);
+    const auto days = days_since_epoch(fields->year, fields->month, fields->day);
     const auto seconds = days * seconds_per_day + fields->hour * 3'600 + fields->minute * 60 + fields->second;
     return wall_instant(duration(seconds * microseconds_per_second));
 }
@@ -245,13 +246,13 @@
 
 auto to_text(duration value) -> std::string
 {
-    const unit* best = duration_units.data();
+    const unit* largest = duration_units.data();
     for (const auto& candidate : duration_units) {
         if (value.count() != 0 && value.count() % candidate.factor == 0) {
-            best = &candidate;
+            largest = &candidate;
         }
     }
-    return std::to_string(value.count() / best->factor) + std::string(best->suffix);
+    return std::to_string(value.count() / largest->factor) + std::string(largest->suffix);
 }
 
 } // namespace dragonflymill
--- a/src/http/http_call.cpp
+++ b/src/http/http_call.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-auto head_text(const http_request& request, const boost::asio::ip::tcp::endpoint& server) -> std::string
+auto request_header(const http_request& request, const boost::asio::ip::tcp::endpoint& server) -> std::string
 {
     std::string text = request.method + " " + request.target + " HTTP/1.1\r\n";
     text += "Host: " + to_text(server) + "\r\n";
@@ -39,7 +39,7 @@
 void http_call::start(http_request request, instant not_after, call_handlers handlers)
 {
     handlers_ = std::move(handlers);
-    head_ = head_text(request, server_);
+    head_ = request_header(request, server_);
     body_ = std::move(request.body);
     stream_.expires_after(limits_.connect_timeout);
     stream_.async_connect(server_, [self = shared_from_this(), not_after](error_code failure) {
--- a/src/http/http_server.cpp
+++ b/src/http/http_server.cpp
@@ -88,9 +88,9 @@
 
 void http_server::forget_closed()
 {
-    const auto gone = std::remove_if(sessions_.begin(), sessions_.end(),
-                                     [](const std::weak_ptr<http_session>& s) { return s.expired(); });
-    sessions_.erase(gone, sessions_.end());
+    const auto first_expired = std::remove_if(
+        sessions_.begin(), sessions_.end(), [](const std::weak_ptr<http_session>& s) { return s.expired(); });
+    sessions_.erase(first_expired, sessions_.end());
 }
 
 } // namespace dragonflymill::http
--- a/src/http/http_session.cpp
+++ b/src/http/http_session.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr std::size_t discard_bytes = 64 * 1024;
+constexpr std::size_t discard_chunk_bytes = 64 * 1024;
 
 } // namespace
 
@@ -74,9 +74,9 @@
         return;
     }
     if (beast::iequals(parser_->get()[beast::http::field::expect], "100-continue")) {
-        static const std::string go_on = "HTTP/1.1 100 Continue\r\n\r\n";
+        static const std::string continue_line = "HTTP/1.1 100 Continue\r\n\r\n";
         boost::asio::async_write(
-            stream_, boost::asio::buffer(go_on),
+            stream_, boost::asio::buffer(continue_line),
             [self = shared_from_this()](error_code /*failure*/, std::size_t /*bytes*/) {});
     }
     stream_.expires_after(limits_.body_timeout);
@@ -100,10 +100,10 @@
     keep_alive_ = false;
     body_unread_ = true;
     stream_.expires_never();
-    auto answer = handlers_.on_no_room
-                      ? handlers_.on_no_room()
-                      : error_response(503, "overloaded", "send the request again a little later");
-    write_out(response_text(answer, false), true);
+    auto response = handlers_.on_no_room
+                        ? handlers_.on_no_room()
+                        : error_response(503, "overloaded", "send the request again a little later");
+    write_out(response_text(response, false), true);
 }
 
 void http_session::on_body(error_code failure)
@@ -118,11 +118,11 @@
 void http_session::reject_unreadable(error_code failure)
 {
     namespace http = beast::http;
-    const bool silent = failure == http::error::end_of_stream || failure == http::error::partial_message ||
-                        failure == boost::asio::error::connection_reset ||
-                        failure == boost::asio::error::operation_aborted;
+    const bool connection_ended =
+        failure == http::error::end_of_stream || failure == http::error::partial_message ||
+        failure == boost::asio::error::connection_reset || failure == boost::asio::error::operation_aborted;
     const bool idle_timeout = failure == beast::error::timeout && !parser_->got_some();
-    if (silent || idle_timeout || state_ != state::reading) {
+    if (connection_ended || idle_timeout || state_ != state::reading) {
         shut();
         return;
     }
@@ -177,10 +177,10 @@
 void http_session::caller_left()
 {
     const bool unanswered = state_ == state::waiting || state_ == state::streaming;
-    const auto left = exchange_;
+    const auto abandoned_exchange = exchange_;
     shut();
-    if (unanswered && left != 0) {
-        handlers_.on_caller_left(left);
+    if (unanswered && abandoned_exchange != 0) {
+        handlers_.on_caller_left(abandoned_exchange);
     }
 }
 
@@ -319,7 +319,7 @@
     stream_.socket().shutdown(boost::asio::ip::tcp::socket::shutdown_send, ignored);
     buffer_.clear();
     stream_.expires_after(limits_.write_timeout);
-    stream_.async_read_some(buffer_.prepare(discard_bytes),
+    stream_.async_read_some(buffer_.prepare(discard_chunk_bytes),
                             [self = shared_from_this()](error_code failure, std::size_t bytes) {
                                 self->discarded_ += bytes;
                                 if (failure || self->discarded_ > self->limits_.max_body_bytes) {
--- a/src/log/log_line.cpp
+++ b/src/log/log_line.cpp
@@ -10,20 +10,20 @@
 
 namespace {
 
-constexpr std::int64_t microseconds_a_second = 1'000'000;
+constexpr std::int64_t microseconds_per_second = 1'000'000;
 
 /// ISO 8601 in UTC with microseconds.
-auto time_text(wall_instant at) -> std::string
+auto utc_text(wall_instant at) -> std::string
 {
     const std::int64_t since_epoch = at.time_since_epoch().count();
-    const std::time_t seconds = since_epoch / microseconds_a_second;
+    const std::time_t seconds = since_epoch / microseconds_per_second;
     std::tm parts{};
     gmtime_r(&seconds, &parts);
     std::array<char, 32> day{};
     std::strftime(day.data(), day.size(), "%Y-%m-%dT%H:%M:%S", &parts);
     std::array<char, 48> text{};
     std::snprintf(text.data(), text.size(), "%s.%06dZ", day.data(),
-                  static_cast<int>(since_epoch % microseconds_a_second));
+                  static_cast<int>(since_epoch % microseconds_per_second));
     return text.data();
 }
 
@@ -52,7 +52,7 @@
 auto json_line(const log_record& record, const event_entry& entry, const std::string& process) -> std::string
 {
     boost::json::object line;
-    line["time"] = time_text(record.at);
+    line["time"] = utc_text(record.at);
     line["level"] = to_string(entry.level);
     line["event"] = entry.number();
     line["name"] = entry.name;
@@ -71,7 +71,7 @@
 
 auto text_line(const log_record& record, const event_entry& entry, const std::string& process) -> std::string
 {
-    std::string line = time_text(record.at) + ' ' + to_string(entry.level) + ' ' +
+    std::string line = utc_text(record.at) + ' ' + to_string(entry.level) + ' ' +
                        std::to_string(entry.number()) + ' ' + entry.name + ' ' + process + ": " + entry.text;
     for (const log_field& f : record.fields) {
         line += ' ';
--- a/src/log/logger.cpp
+++ b/src/log/logger.cpp
@@ -24,27 +24,27 @@
 
 namespace {
 
-constexpr std::size_t queue_bound = 8192;
-constexpr int level_off = 1000;
+constexpr std::size_t queue_capacity = 8192;
+constexpr int logging_off = 1000;
 /// What is queued at the end is written within this, or given up: the queue takes a few milliseconds to
 /// write.
-constexpr auto close_limit = std::chrono::milliseconds(500);
+constexpr auto close_timeout = std::chrono::milliseconds(500);
 constexpr const char* record_attribute = "Record";
 
 // The process's one logger; Boost.Log's core is global as well, so there can't be two.
-std::atomic<int> enabled_level{level_off};
-std::atomic<std::uint64_t> dropped_count{0};
-std::atomic<std::uint64_t> told_count{0}; // dropped events that the log itself speaks of
+std::atomic<int> enabled_level{logging_off};
+std::atomic<std::uint64_t> drop_count{0};
+std::atomic<std::uint64_t> reported_drop_count{0}; // dropped events that the log itself speaks of
 
 /// Drops an event when the queue is full. A request must not wait for a slow disk or terminal: it would miss
 /// its time limit because of its own log.
-class count_on_overflow
+class drop_on_overflow
 {
 public:
     template <typename Lock>
     static auto on_overflow(const boost::log::record_view& /*record*/, Lock& /*lock*/) -> bool
     {
-        dropped_count.fetch_add(1, std::memory_order_relaxed);
+        drop_count.fetch_add(1, std::memory_order_relaxed);
         return false;
     }
     static void on_queue_space_available() {}
@@ -53,7 +53,7 @@
 
 using backend = boost::log::sinks::text_ostream_backend;
 using frontend = boost::log::sinks::asynchronous_sink<
-    backend, boost::log::sinks::bounded_fifo_queue<queue_bound, count_on_overflow>>;
+    backend, boost::log::sinks::bounded_fifo_queue<queue_capacity, drop_on_overflow>>;
 
 auto wall_now() -> wall_instant
 {
@@ -102,7 +102,7 @@
 
 auto logger::start(const log_settings& settings) -> result<logger>
 {
-    if (enabled_level.load() != level_off) {
+    if (enabled_level.load() != logging_off) {
         return error(error_kind::conflict, "logging is already started", "start one logger a process");
     }
     auto stream = open_stream(settings.file);
@@ -123,8 +123,8 @@
             }
         });
     boost::log::core::get()->add_sink(opened->sink);
-    dropped_count.store(0);
-    told_count.store(0);
+    drop_count.store(0);
+    reported_drop_count.store(0);
     enabled_level.store(static_cast<int>(settings.level));
     return logger(std::move(opened));
 }
@@ -148,7 +148,7 @@
     if (state_ == nullptr) {
         return;
     }
-    enabled_level.store(level_off);
+    enabled_level.store(logging_off);
     // On a thread of its own: the writer may be stuck in a pipe that nobody reads, and a process that is to
     // stop would then never end. What is not written by the limit is given up.
     auto closed = std::make_shared<std::promise<void>>();
@@ -164,7 +164,7 @@
         }
         closed->set_value();
     }).detach();
-    done.wait_for(close_limit);
+    done.wait_for(close_timeout);
 }
 
 void logger::flush()
@@ -174,7 +174,7 @@
 
 auto logger::dropped() const -> std::uint64_t
 {
-    return dropped_count.load();
+    return drop_count.load();
 }
 
 auto log_enabled(log_level level) -> bool
@@ -201,10 +201,10 @@
 void detail::queue_event(event id, std::vector<log_field> fields)
 {
     push_event(id, std::move(fields));
-    const auto dropped = dropped_count.load(std::memory_order_relaxed);
-    const auto told = told_count.exchange(dropped, std::memory_order_relaxed);
-    if (dropped > told) {
-        push_event(event::log_dropped, {field("events", dropped - told)});
+    const auto dropped = drop_count.load(std::memory_order_relaxed);
+    const auto reported = reported_drop_count.exchange(dropped, std::memory_order_relaxed);
+    if (dropped > reported) {
+        push_event(event::log_dropped, {field("events", dropped - reported)});
     }
 }
 
--- a/src/metrics/metric_histogram.cpp
+++ b/src/metrics/metric_histogram.cpp
@@ -17,21 +17,21 @@
 
 using log_axis = bh::axis::regular<double, bh::axis::transform::log>;
 // Cells that several threads may raise at the same time.
-using shared_cells = bh::dense_storage<bh::accumulators::count<std::uint64_t, true>>;
-using shared_histogram = bh::histogram<std::tuple<log_axis>, shared_cells>;
+using atomic_cells = bh::dense_storage<bh::accumulators::count<std::uint64_t, true>>;
+using atomic_histogram = bh::histogram<std::tuple<log_axis>, atomic_cells>;
 
 } // namespace
 
 struct metric_histogram::state
 {
     explicit state(const bucket_layout& layout)
-        : cells(bh::make_histogram_with(shared_cells(), log_axis(layout.count, layout.low, layout.high)))
+        : cells(bh::make_histogram_with(atomic_cells(), log_axis(layout.count, layout.low, layout.high)))
     {
     }
 
     [[nodiscard]] auto cell(int index) const -> std::uint64_t { return cells.at(index).value(); }
 
-    shared_histogram cells;
+    atomic_histogram cells;
     std::atomic<double> sum{0};
 };
 
@@ -81,17 +81,17 @@
 auto metric_histogram::quantile(double share) const -> double
 {
     const auto all = buckets();
-    const double wanted = share * static_cast<double>(all.back().count);
+    const double target_rank = share * static_cast<double>(all.back().count);
     double low = 0;
     std::uint64_t below = 0;
     for (const cumulative_bucket& bucket : all) {
-        if (bucket.count > below && static_cast<double>(bucket.count) >= wanted) {
+        if (bucket.count > below && static_cast<double>(bucket.count) >= target_rank) {
             if (!std::isfinite(bucket.upper)) {
                 return low;
             }
-            const double inside =
-                (wanted - static_cast<double>(below)) / static_cast<double>(bucket.count - below);
-            return low + (bucket.upper - low) * inside;
+            const double position =
+                (target_rank - static_cast<double>(below)) / static_cast<double>(bucket.count - below);
+            return low + (bucket.upper - low) * position;
         }
         low = std::isfinite(bucket.upper) ? bucket.upper : low;
         below = bucket.count;
--- a/src/metrics/metrics_registry.cpp
+++ b/src/metrics/metrics_registry.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr const char* refused_series = "dragonflymill_metric_series_refused_total";
+constexpr const char* refused_series_name = "dragonflymill_metric_series_refused_total";
 
 auto number_text(double value) -> std::string
 {
@@ -36,17 +36,17 @@
 template <typename Metric>
 using families = std::map<std::string, family<Metric>, std::less<>>;
 
-auto head(const std::string& name, const std::string& help, const char* type) -> std::string
+auto family_header(const std::string& name, const std::string& help, const char* type) -> std::string
 {
     return "# HELP " + name + ' ' + help + "\n# TYPE " + name + ' ' + type + '\n';
 }
 
 template <typename Metric>
-auto plain_text(const families<Metric>& all, const char* type) -> std::string
+auto scalar_text(const families<Metric>& all, const char* type) -> std::string
 {
     std::string text;
     for (const auto& [name, family] : all) {
-        text += head(name, family.help, type);
+        text += family_header(name, family.help, type);
         for (const auto& [labels, metric] : family.series) {
             text += name + to_text(labels) + ' ' + std::to_string(metric.value()) + '\n';
         }
@@ -54,7 +54,7 @@
     return text;
 }
 
-auto series_text(const std::string& name, const metric_labels& labels, const metric_histogram& histogram)
+auto histogram_text(const std::string& name, const metric_labels& labels, const metric_histogram& histogram)
     -> std::string
 {
     std::string text;
@@ -81,7 +81,7 @@
 
     /// The series with these labels, made if there is room; otherwise `spare`.
     template <typename Metric, typename... Arguments>
-    auto find(families<Metric>& all, const metric_name& name, const metric_labels& labels, Metric& spare,
+    auto find(families<Metric>& all, const metric_name& name, const metric_labels& labels, Metric& overflow,
               const Arguments&... arguments) -> Metric&
     {
         const std::lock_guard lock(mutex);
@@ -94,7 +94,7 @@
         }
         if (series_count >= most_series) {
             refused.add();
-            return spare;
+            return overflow;
         }
         if (found == all.end()) {
             found = all.emplace(name.name, family<Metric>{name.help, {}}).first;
@@ -110,9 +110,9 @@
     std::size_t series_count = 0;
     std::size_t most_series;
     metric_counter refused;
-    metric_counter spare_counter;
-    metric_gauge spare_gauge;
-    metric_histogram spare_histogram{second_buckets};
+    metric_counter overflow_counter;
+    metric_gauge overflow_gauge;
+    metric_histogram overflow_histogram{second_buckets};
 };
 
 metrics_registry::metrics_registry(std::size_t most_series)
@@ -124,32 +124,32 @@
 
 auto metrics_registry::counter(const metric_name& name, const metric_labels& labels) -> metric_counter&
 {
-    return state_->find(state_->counters, name, labels, state_->spare_counter);
+    return state_->find(state_->counters, name, labels, state_->overflow_counter);
 }
 
 auto metrics_registry::gauge(const metric_name& name, const metric_labels& labels) -> metric_gauge&
 {
-    return state_->find(state_->gauges, name, labels, state_->spare_gauge);
+    return state_->find(state_->gauges, name, labels, state_->overflow_gauge);
 }
 
 auto metrics_registry::histogram(const metric_name& name, const bucket_layout& layout,
                                  const metric_labels& labels) -> metric_histogram&
 {
-    return state_->find(state_->histograms, name, labels, state_->spare_histogram, layout);
+    return state_->find(state_->histograms, name, labels, state_->overflow_histogram, layout);
 }
 
 auto metrics_registry::prometheus_text() const -> std::string
 {
     const std::lock_guard lock(state_->mutex);
-    std::string text = plain_text(state_->counters, "counter") + plain_text(state_->gauges, "gauge");
+    std::string text = scalar_text(state_->counters, "counter") + scalar_text(state_->gauges, "gauge");
     for (const auto& [name, family] : state_->histograms) {
-        text += head(name, family.help, "histogram");
+        text += family_header(name, family.help, "histogram");
         for (const auto& [labels, histogram] : family.series) {
-            text += series_text(name, labels, histogram);
+            text += histogram_text(name, labels, histogram);
         }
     }
-    text += head(refused_series, "series not made because the registry was full", "counter");
-    text += std::string(refused_series) + ' ' + std::to_string(state_->refused.value()) + '\n';
+    text += family_header(refused_series_name, "series not made because the registry was full", "counter");
+    text += std::string(refused_series_name) + ' ' + std::to_string(state_->refused.value()) + '\n';
     return text;
 }
 
--- a/src/timeline/clock_offsets.cpp
+++ b/src/timeline/clock_offsets.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-constexpr duration unset = duration::max();
+constexpr duration unknown_uncertainty = duration::max();
 /// A link with messages one way only is used where no chain of round trips leads.
 constexpr duration one_way_uncertainty = std::chrono::hours(1);
 
 /// Fastest apparent way of a message from one process to another: real way plus difference of the clocks.
-using fastest_ways = std::map<std::pair<std::size_t, std::size_t>, duration>;
+using minimum_delays = std::map<std::pair<std::size_t, std::size_t>, duration>;
 
 /// What links the clocks of two processes.
 struct clock_link
@@ -33,7 +33,7 @@
     bool repeated = false;
 };
 
-auto note_end(message_ends& ends, const timeline_event& event)
+auto record_end(message_ends& ends, const timeline_event& event)
 {
     const timeline_event*& slot = event.end == message_end::send ? ends.sent : ends.received;
     // Which copy of a repeated message arrived can't be told, so its times say nothing.
@@ -57,19 +57,19 @@
 
     auto run() && -> std::vector<clock_offset>
     {
-        find_fastest_ways();
+        find_minimum_delays();
         offsets_.reserve(processes_.size());
         for (const process_id& process : processes_) {
-            offsets_.push_back({process, duration::zero(), unset, offset_source::wall_clock});
+            offsets_.push_back({process, duration::zero(), unknown_uncertainty, offset_source::wall_clock});
         }
         if (offsets_.empty()) {
             return {};
         }
-        const std::size_t reference = most_linked();
+        const std::size_t reference = most_linked_process();
         offsets_[reference].uncertainty = duration::zero();
         offsets_[reference].source = offset_source::reference;
-        spread();
-        place_unlinked(reference);
+        propagate_offsets();
+        set_unlinked_offsets(reference);
         return std::move(offsets_);
     }
 
@@ -80,12 +80,12 @@
         return static_cast<std::size_t>(found - processes_.begin());
     }
 
-    void find_fastest_ways()
+    void find_minimum_delays()
     {
         std::unordered_map<std::string, message_ends> messages;
         for (const timeline_event& event : events_) {
             if (event.end != message_end::none) {
-                note_end(messages[event.message], event);
+                record_end(messages[event.message], event);
             }
         }
         for (const auto& [name, ends] : messages) {
@@ -93,35 +93,35 @@
                 continue;
             }
             const std::pair link(index_of(ends.sent->process), index_of(ends.received->process));
-            const duration way = ends.received->at - ends.sent->at;
-            const auto added = ways_.try_emplace(link, way);
-            added.first->second = std::min(added.first->second, way);
+            const duration delay = ends.received->at - ends.sent->at;
+            const auto added = minimum_delays_.try_emplace(link, delay);
+            added.first->second = std::min(added.first->second, delay);
         }
     }
 
     [[nodiscard]] auto link(std::size_t from, std::size_t to) const -> std::optional<clock_link>
     {
-        const auto there = ways_.find({from, to});
-        const auto back = ways_.find({to, from});
-        if (there != ways_.end() && back != ways_.end()) {
-            const duration offset = (back->second - there->second) / 2;
-            const duration uncertainty = (there->second + back->second) / 2;
+        const auto forward = minimum_delays_.find({from, to});
+        const auto backward = minimum_delays_.find({to, from});
+        if (forward != minimum_delays_.end() && backward != minimum_delays_.end()) {
+            const duration offset = (backward->second - forward->second) / 2;
+            const duration uncertainty = (forward->second + backward->second) / 2;
             // Below zero would say that a message arrived before it was sent: the clocks drift.
             return clock_link{offset, std::max(uncertainty, duration(1)), false};
         }
-        if (there != ways_.end()) {
-            return clock_link{-there->second, one_way_uncertainty, true};
+        if (forward != minimum_delays_.end()) {
+            return clock_link{-forward->second, one_way_uncertainty, true};
         }
-        if (back != ways_.end()) {
-            return clock_link{back->second, one_way_uncertainty, true};
+        if (backward != minimum_delays_.end()) {
+            return clock_link{backward->second, one_way_uncertainty, true};
         }
         return std::nullopt;
     }
 
-    [[nodiscard]] auto most_linked() const -> std::size_t
+    [[nodiscard]] auto most_linked_process() const -> std::size_t
     {
         std::vector<std::size_t> links(processes_.size());
-        for (const auto& [ends, way] : ways_) {
+        for (const auto& [ends, delay] : minimum_delays_) {
             ++links[ends.first];
             ++links[ends.second];
         }
@@ -129,29 +129,29 @@
     }
 
     /// Sets the offsets of all that are linked to the reference, along the most certain chains first.
-    void spread()
+    void propagate_offsets()
     {
-        std::vector<bool> done(processes_.size());
+        std::vector<bool> visited(processes_.size());
         while (true) {
-            const std::size_t from = most_certain(done);
+            const std::size_t from = least_uncertain(visited);
             if (from == processes_.size()) {
                 return;
             }
-            done[from] = true;
+            visited[from] = true;
             for (std::size_t to = 0; to < processes_.size(); ++to) {
-                if (!done[to]) {
-                    follow(from, to);
+                if (!visited[to]) {
+                    apply_link(from, to);
                 }
             }
         }
     }
 
-    [[nodiscard]] auto most_certain(const std::vector<bool>& done) const -> std::size_t
+    [[nodiscard]] auto least_uncertain(const std::vector<bool>& visited) const -> std::size_t
     {
         std::size_t best = processes_.size();
-        duration least = unset;
+        duration least = unknown_uncertainty;
         for (std::size_t i = 0; i < processes_.size(); ++i) {
-            if (!done[i] && offsets_[i].uncertainty < least) {
+            if (!visited[i] && offsets_[i].uncertainty < least) {
                 best = i;
                 least = offsets_[i].uncertainty;
             }
@@ -159,7 +159,7 @@
         return best;
     }
 
-    void follow(std::size_t from, std::size_t to)
+    void apply_link(std::size_t from, std::size_t to)
     {
         const auto found = link(from, to);
         if (!found) {
@@ -176,7 +176,7 @@
     }
 
     /// Civil time minus monotonic time of a process, at its first event.
-    [[nodiscard]] auto wall_difference(std::size_t process) const -> duration
+    [[nodiscard]] auto wall_clock_difference(std::size_t process) const -> duration
     {
         const auto first = std::find_if(events_.begin(), events_.end(), [&](const timeline_event& event) {
             return event.process == processes_[process];
@@ -184,23 +184,23 @@
         return first->wall.time_since_epoch() - first->at.time_since_epoch();
     }
 
-    void place_unlinked(std::size_t reference)
+    void set_unlinked_offsets(std::size_t reference)
     {
-        const duration base = wall_difference(reference);
+        const duration base = wall_clock_difference(reference);
         for (std::size_t i = 0; i < offsets_.size(); ++i) {
-            clock_offset& placed = offsets_[i];
-            if (placed.uncertainty == unset) {
-                placed.offset = wall_difference(i) - base;
+            clock_offset& clock = offsets_[i];
+            if (clock.uncertainty == unknown_uncertainty) {
+                clock.offset = wall_clock_difference(i) - base;
             }
-            if (placed.source == offset_source::one_way || placed.source == offset_source::wall_clock) {
-                placed.uncertainty = duration::zero();
+            if (clock.source == offset_source::one_way || clock.source == offset_source::wall_clock) {
+                clock.uncertainty = duration::zero();
             }
         }
     }
 
     std::span<const timeline_event> events_;
     std::vector<process_id> processes_;
-    fastest_ways ways_;
+    minimum_delays minimum_delays_;
     std::vector<clock_offset> offsets_;
 };
 
--- a/src/timeline/timeline_event.cpp
+++ b/src/timeline/timeline_event.cpp
@@ -7,23 +7,23 @@
 
 namespace {
 
-auto unreadable(std::string why) -> error
+auto invalid_line(std::string why) -> error
 {
     return {error_kind::corrupt, "the line is not a time line event: " + std::move(why),
             "give the files that [timeline] file names; the last line of a process that died may be cut off"};
 }
 
-auto text_of(const boost::json::object& line, std::string_view key) -> std::string
+auto string_field(const boost::json::object& line, std::string_view key) -> std::string
 {
     const auto* const value = line.if_contains(key);
     return value != nullptr && value->is_string() ? std::string(value->get_string()) : std::string();
 }
 
-auto time_of(const boost::json::object& line, std::string_view key) -> result<duration>
+auto duration_field(const boost::json::object& line, std::string_view key) -> result<duration>
 {
     const auto* const value = line.if_contains(key);
     if (value == nullptr || !value->is_int64()) {
-        return unreadable("'" + std::string(key) + "' is missing");
+        return invalid_line("'" + std::string(key) + "' is missing");
     }
     return duration(value->get_int64());
 }
@@ -59,30 +59,30 @@
     boost::system::error_code failed;
     const auto parsed = boost::json::parse({line.data(), line.size()}, failed);
     if (failed || !parsed.is_object()) {
-        return unreadable("it is not a JSON object");
+        return invalid_line("it is not a JSON object");
     }
     const auto& object = parsed.get_object();
-    const auto at = time_of(object, "mono_us");
-    const auto wall = time_of(object, "wall_us");
+    const auto at = duration_field(object, "mono_us");
+    const auto wall = duration_field(object, "wall_us");
     if (!at || !wall) {
         return at ? wall.error() : at.error();
     }
-    timeline_event event{process_id(text_of(object, "process")),
+    timeline_event event{process_id(string_field(object, "process")),
                          instant(at.value()),
                          wall_instant(wall.value()),
-                         request_id(text_of(object, "request")),
-                         text_of(object, "step"),
-                         text_of(object, "detail"),
-                         text_of(object, "sent"),
+                         request_id(string_field(object, "request")),
+                         string_field(object, "step"),
+                         string_field(object, "detail"),
+                         string_field(object, "sent"),
                          message_end::none};
     if (event.process.empty() || event.step.empty()) {
-        return unreadable("it has no process or no step");
+        return invalid_line("it has no process or no step");
     }
     if (!event.message.empty()) {
         event.end = message_end::send;
         return event;
     }
-    event.message = text_of(object, "received");
+    event.message = string_field(object, "received");
     event.end = event.message.empty() ? message_end::none : message_end::receive;
     return event;
 }
--- a/src/timeline/timeline_merge.cpp
+++ b/src/timeline/timeline_merge.cpp
@@ -13,27 +13,28 @@
 /// Rows of each process: when the last span on it ends.
 using row_ends = std::vector<std::vector<duration>>;
 
-auto place_all(std::vector<timeline_event> events, const merged_timeline& merged) -> std::vector<placed_event>
+auto align_events(std::vector<timeline_event> events, const merged_timeline& merged)
+    -> std::vector<placed_event>
 {
-    std::vector<placed_event> placed;
-    placed.reserve(events.size());
+    std::vector<placed_event> aligned;
+    aligned.reserve(events.size());
     for (timeline_event& event : events) {
         const clock_offset& clock = merged.clocks[merged.process_index(event.process)];
-        placed.push_back({event.at.time_since_epoch() + clock.offset, std::move(event)});
+        aligned.push_back({event.at.time_since_epoch() + clock.offset, std::move(event)});
     }
-    std::stable_sort(placed.begin(), placed.end(),
+    std::stable_sort(aligned.begin(), aligned.end(),
                      [](const placed_event& a, const placed_event& b) { return a.at < b.at; });
-    const duration first = placed.empty() ? duration::zero() : placed.front().at;
-    for (placed_event& event : placed) {
+    const duration first = aligned.empty() ? duration::zero() : aligned.front().at;
+    for (placed_event& event : aligned) {
         event.at -= first;
     }
-    return placed;
+    return aligned;
 }
 
-void add_spans(std::vector<placed_event> placed, merged_timeline& merged)
+void add_spans(std::vector<placed_event> aligned, merged_timeline& merged)
 {
     std::map<std::pair<std::size_t, request_id>, std::size_t> known;
-    for (placed_event& event : placed) {
+    for (placed_event& event : aligned) {
         if (event.event.request.empty()) {
             merged.process_events.push_back(std::move(event));
             continue;
@@ -47,7 +48,7 @@
     }
 }
 
-void choose_rows(merged_timeline& merged)
+void assign_rows(merged_timeline& merged)
 {
     row_ends ends(merged.clocks.size());
     for (request_span& span : merged.spans) {
@@ -64,7 +65,7 @@
 }
 
 /// Places of both ends of a message.
-struct open_message
+struct message_endpoints
 {
     std::optional<span_place> from;
     std::optional<span_place> to;
@@ -72,21 +73,21 @@
 
 void add_messages(merged_timeline& merged)
 {
-    std::unordered_map<std::string, open_message> open;
+    std::unordered_map<std::string, message_endpoints> endpoints;
     for (std::size_t s = 0; s < merged.spans.size(); ++s) {
         const auto& steps = merged.spans[s].steps;
         for (std::size_t i = 0; i < steps.size(); ++i) {
             if (steps[i].event.end == message_end::none) {
                 continue;
             }
-            open_message& message = open[steps[i].event.message];
+            message_endpoints& message = endpoints[steps[i].event.message];
             auto& slot = steps[i].event.end == message_end::send ? message.from : message.to;
             if (!slot) {
                 slot = span_place{s, i};
             }
         }
     }
-    for (const auto& [name, message] : open) {
+    for (const auto& [name, message] : endpoints) {
         if (message.from && message.to) {
             merged.messages.push_back({*message.from, *message.to});
         }
@@ -111,8 +112,8 @@
 {
     merged_timeline merged;
     merged.clocks = estimate_clock_offsets(events);
-    add_spans(place_all(std::move(events), merged), merged);
-    choose_rows(merged);
+    add_spans(align_events(std::move(events), merged), merged);
+    assign_rows(merged);
     add_messages(merged);
     return merged;
 }
--- a/src/timeline/timeline_picture.cpp
+++ b/src/timeline/timeline_picture.cpp
@@ -13,17 +13,17 @@
 namespace {
 
 constexpr double page_width = 1500;
-constexpr double name_width = 170;
+constexpr double label_width = 170;
 constexpr double row_height = 7;
 constexpr double band_gap = 8;
 constexpr double axis_height = 24;
-constexpr std::size_t most_rows = 48;
-constexpr std::size_t most_steps = 40'000;
-constexpr std::size_t most_messages = 4'000;
-constexpr int axis_marks = 10;
+constexpr std::size_t max_rows = 48;
+constexpr std::size_t max_steps = 40'000;
+constexpr std::size_t max_messages = 4'000;
+constexpr int axis_ticks = 10;
 constexpr unsigned hues = 360;
 
-auto number(double value) -> std::string
+auto decimal_text(double value) -> std::string
 {
     std::array<char, 32> text{};
     std::snprintf(text.data(), text.size(), "%.2f", value);
@@ -32,8 +32,8 @@
 
 auto time_text(duration value) -> std::string
 {
-    constexpr double microseconds_a_millisecond = 1000;
-    return number(static_cast<double>(value.count()) / microseconds_a_millisecond) + " ms";
+    constexpr double microseconds_per_millisecond = 1000;
+    return decimal_text(static_cast<double>(value.count()) / microseconds_per_millisecond) + " ms";
 }
 
 /// Text that can't close an element or begin one: request ids and details come from callers.
@@ -62,16 +62,16 @@
 }
 
 /// Draws one merged time line.
-class picture
+class svg_writer
 {
 public:
-    picture(const merged_timeline& merged, std::ostream& out)
+    svg_writer(const merged_timeline& merged, std::ostream& out)
         : merged_(merged)
         , out_(out)
         , rows_(merged.clocks.size(), 1)
     {
         for (const request_span& span : merged.spans) {
-            rows_[span.process] = std::max(rows_[span.process], std::min(span.row + 1, most_rows));
+            rows_[span.process] = std::max(rows_[span.process], std::min(span.row + 1, max_rows));
             length_ = std::max(length_, span.end());
         }
         for (const placed_event& event : merged.process_events) {
@@ -101,27 +101,28 @@
         out_ << "</svg>\n";
     }
 
-    [[nodiscard]] auto left_out() const -> std::size_t { return left_out_; }
+    [[nodiscard]] auto omitted() const -> std::size_t { return omitted_; }
 
 private:
     [[nodiscard]] auto x(duration at) const -> double
     {
         const double share = static_cast<double>(at.count()) / static_cast<double>(length_.count());
-        return name_width + share * (page_width - name_width - 10);
+        return label_width + share * (page_width - label_width - 10);
     }
     [[nodiscard]] auto y(const request_span& span) const -> double
     {
         return tops_[span.process] + static_cast<double>(span.row) * row_height;
     }
-    static auto hidden(const request_span& span) -> bool { return span.row >= most_rows; }
+    static auto is_hidden(const request_span& span) -> bool { return span.row >= max_rows; }
 
     void draw_axis()
     {
-        for (int i = 0; i <= axis_marks; ++i) {
-            const duration at = length_ * i / axis_marks;
-            out_ << "<line x1=\"" << number(x(at)) << "\" x2=\"" << number(x(at)) << "\" y1=\""
+        for (int i = 0; i <= axis_ticks; ++i) {
+            const duration at = length_ * i / axis_ticks;
+            out_ << "<line x1=\"" << decimal_text(x(at)) << "\" x2=\"" << decimal_text(x(at)) << "\" y1=\""
                  << axis_height - 6 << "\" y2=\"" << height_ << "\" stroke=\"#ddd\"/><text x=\""
-                 << number(x(at)) << "\" y=\"12\" text-anchor=\"middle\">" << time_text(at) << "</text>\n";
+                 << decimal_text(x(at)) << "\" y=\"12\" text-anchor=\"middle\">" << time_text(at)
+                 << "</text>\n";
         }
     }
 
@@ -142,29 +143,29 @@
         for (const message_arrow& message : merged_.messages) {
             const request_span& from = merged_.spans[message.from.span];
             const request_span& to = merged_.spans[message.to.span];
-            if (hidden(from) || hidden(to) || drawn >= most_messages) {
-                ++left_out_;
+            if (is_hidden(from) || is_hidden(to) || drawn >= max_messages) {
+                ++omitted_;
                 continue;
             }
             ++drawn;
-            out_ << "<line x1=\"" << number(x(from.steps[message.from.step].at)) << "\" y1=\""
-                 << number(y(from) + row_height / 2) << "\" x2=\"" << number(x(to.steps[message.to.step].at))
-                 << "\" y2=\"" << number(y(to) + row_height / 2)
-                 << "\" stroke=\"#888\" stroke-width=\"0.4\"/>\n";
+            out_ << "<line x1=\"" << decimal_text(x(from.steps[message.from.step].at)) << "\" y1=\""
+                 << decimal_text(y(from) + row_height / 2) << "\" x2=\""
+                 << decimal_text(x(to.steps[message.to.step].at)) << "\" y2=\""
+                 << decimal_text(y(to) + row_height / 2) << "\" stroke=\"#888\" stroke-width=\"0.4\"/>\n";
         }
     }
 
     void draw_span(const request_span& span)
     {
-        if (hidden(span) || steps_drawn_ + span.steps.size() > most_steps) {
-            left_out_ += span.steps.size();
+        if (is_hidden(span) || steps_drawn_ + span.steps.size() > max_steps) {
+            omitted_ += span.steps.size();
             return;
         }
         steps_drawn_ += span.steps.size();
         const std::string& request = span.steps.front().event.request.text();
         const double width = std::max(1.0, x(span.end()) - x(span.begin()));
-        out_ << "<g><rect x=\"" << number(x(span.begin())) << "\" y=\"" << number(y(span)) << "\" width=\""
-             << number(width) << "\" height=\"" << row_height - 1 << "\" fill=\"hsl("
+        out_ << "<g><rect x=\"" << decimal_text(x(span.begin())) << "\" y=\"" << decimal_text(y(span))
+             << "\" width=\"" << decimal_text(width) << "\" height=\"" << row_height - 1 << "\" fill=\"hsl("
              << stable_hash(request) % hues << ",60%,70%)\"><title>" << escaped(request) << "\n"
              << time_text(span.begin()) << " to " << time_text(span.end()) << "</title></rect>";
         for (const placed_event& step : span.steps) {
@@ -175,8 +176,8 @@
 
     void draw_process_event(const placed_event& event)
     {
-        if (steps_drawn_ >= most_steps) {
-            ++left_out_;
+        if (steps_drawn_ >= max_steps) {
+            ++omitted_;
             return;
         }
         ++steps_drawn_;
@@ -186,7 +187,7 @@
 
     void draw_tick(const placed_event& event, double top, const char* colour)
     {
-        out_ << "<rect x=\"" << number(x(event.at)) << "\" y=\"" << number(top)
+        out_ << "<rect x=\"" << decimal_text(x(event.at)) << "\" y=\"" << decimal_text(top)
              << "\" width=\"0.8\" height=\"" << row_height - 1 << "\" fill=\"" << colour << "\"><title>"
              << escaped(event.event.step) << ' ' << escaped(event.event.detail) << "\n"
              << escaped(event.event.request.text()) << ' ' << time_text(event.at) << "</title></rect>";
@@ -199,7 +200,7 @@
     double height_ = 0;
     duration length_{1};
     std::size_t steps_drawn_ = 0;
-    std::size_t left_out_ = 0;
+    std::size_t omitted_ = 0;
 };
 
 void write_clocks(const merged_timeline& merged, std::ostream& out)
@@ -222,10 +223,10 @@
            "<style>body{font-family:sans-serif}td,th{padding:0 1em;text-align:left;font-size:12px}</style>"
            "</head><body>\n<p>A band for each process, a bar for each request in it, a tick for each step, a "
            "line for each message. Point at a bar or a tick to read it.</p>\n";
-    picture drawing(merged, out);
-    drawing.draw();
-    if (drawing.left_out() > 0) {
-        out << "<p>" << drawing.left_out()
+    svg_writer writer(merged, out);
+    writer.draw();
+    if (writer.omitted() > 0) {
+        out << "<p>" << writer.omitted()
             << " steps and messages are not drawn; the trace-event file has them."
             << "</p>\n";
     }
--- a/src/timeline/timeline_recorder.cpp
+++ b/src/timeline/timeline_recorder.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr auto idle_flush = std::chrono::milliseconds(100);
+constexpr auto idle_flush_interval = std::chrono::milliseconds(100);
 constexpr const char* dropped_step = "timeline_dropped";
 
 auto monotonic_now() -> instant
@@ -58,7 +58,7 @@
     void run()
     {
         while (true) {
-            const auto event = ring.pop_for(idle_flush);
+            const auto event = ring.pop_for(idle_flush_interval);
             if (event) {
                 out << to_json_line(*event) << '\n';
                 continue;
@@ -74,19 +74,19 @@
     void write_dropped()
     {
         const std::uint64_t dropped = ring.refused();
-        if (dropped > reported) {
+        if (dropped > reported_drops) {
             out << to_json_line({process, monotonic_now(), wall_now(), request_id(), dropped_step,
-                                 std::to_string(dropped - reported) + " events", "", message_end::none})
+                                 std::to_string(dropped - reported_drops) + " events", "", message_end::none})
                 << '\n';
-            log_event(event::timeline_dropped, field("events", dropped - reported));
-            reported = dropped;
+            log_event(event::timeline_dropped, field("events", dropped - reported_drops));
+            reported_drops = dropped;
         }
     }
 
     process_id process;
     std::ofstream out;
     bounded_ring<timeline_event> ring;
-    std::uint64_t reported = 0;
+    std::uint64_t reported_drops = 0;
     std::thread writer; // last: it uses all of the above
 };
 
--- a/src/timeline/trace_events.cpp
+++ b/src/timeline/trace_events.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// Viewers show a slice without length as nothing.
-constexpr duration shortest_slice{1};
+constexpr duration min_slice_duration{1};
 
 /// Writes the elements of the JSON array, one a line.
 class trace_writer
@@ -51,14 +51,14 @@
 auto slice(const request_span& span, const std::string& name, duration begin, duration end)
     -> boost::json::object
 {
-    auto whole = element("X", name, span.process, span.row, begin);
-    whole["dur"] = std::int64_t{std::max(end - begin, shortest_slice).count()};
-    return whole;
+    auto slice_event = element("X", name, span.process, span.row, begin);
+    slice_event["dur"] = std::int64_t{std::max(end - begin, min_slice_duration).count()};
+    return slice_event;
 }
 
 void write_span(const request_span& span, trace_writer& writer)
 {
-    const duration last_end = span.end() + shortest_slice;
+    const duration last_end = span.end() + min_slice_duration;
     writer.write(slice(span, span.steps.front().event.request.text(), span.begin(), last_end));
     for (std::size_t i = 0; i < span.steps.size(); ++i) {
         const duration end = i + 1 < span.steps.size() ? span.steps[i + 1].at : last_end;
@@ -107,10 +107,11 @@
         write_span(span, writer);
     }
     for (const placed_event& event : merged.process_events) {
-        auto mark = element("i", event.event.step, merged.process_index(event.event.process), 0, event.at);
-        mark["s"] = "p";
-        mark["args"] = step_arguments(event.event);
-        writer.write(mark);
+        auto instant_event =
+            element("i", event.event.step, merged.process_index(event.event.process), 0, event.at);
+        instant_event["s"] = "p";
+        instant_event["args"] = step_arguments(event.event);
+        writer.write(instant_event);
     }
     for (std::size_t i = 0; i < merged.messages.size(); ++i) {
         write_message(merged, merged.messages[i], i, writer);
--- a/tests/core/random_source_test.cpp
+++ b/tests/core/random_source_test.cpp
@@ -19,10 +19,10 @@
         const auto a = rendezvous_score(key, "a");
         const auto b = rendezvous_score(key, "b");
         const auto c = rendezvous_score(key, "c");
-        const bool home_was_c = c > a && c > b;
-        const bool home_is_a = a > b;
-        if (!home_was_c) {
-            cr_assert(home_is_a == (a > b && a > c));
+        const bool owner_was_c = c > a && c > b;
+        const bool owner_is_a = a > b;
+        if (!owner_was_c) {
+            cr_assert(owner_is_a == (a > b && a > c));
         }
     }
 }
--- a/tests/http/body_budget_test.cpp
+++ b/tests/http/body_budget_test.cpp
@@ -15,13 +15,13 @@
 namespace {
 
 using boost::asio::ip::tcp;
-constexpr std::size_t large = 700 * 1024;
+constexpr std::size_t large_body_bytes = 700 * 1024;
 
 /// A server with room for one large body, that answers each request with the length of its body.
-class small_server
+class one_body_server
 {
 public:
-    small_server()
+    one_body_server()
     {
         cr_assert(server_.listen("127.0.0.1:0").has_value());
         address_ = server_.local_address();
@@ -55,39 +55,39 @@
 class upload
 {
 public:
-    explicit upload(const small_server& server, const std::string& length_field,
-                    const std::string& afterwards = "close")
+    explicit upload(const one_body_server& server, const std::string& length_field,
+                    const std::string& connection_value = "close")
     {
         socket_.connect({boost::asio::ip::address_v4::loopback(), server.port()});
-        send("POST / HTTP/1.1\r\nHost: a\r\nConnection: " + afterwards + "\r\nExpect: 100-continue\r\n" +
-             length_field + "\r\n\r\n");
+        send("POST / HTTP/1.1\r\nHost: a\r\nConnection: " + connection_value +
+             "\r\nExpect: 100-continue\r\n" + length_field + "\r\n\r\n");
     }
     void send(const std::string& text) { boost::asio::write(socket_, boost::asio::buffer(text)); }
     /// The first line that the server says: "go on", or a final answer.
     [[nodiscard]] auto first_line() -> std::string
     {
-        const auto length = boost::asio::read_until(socket_, boost::asio::dynamic_buffer(heard_), "\r\n");
-        return heard_.substr(0, length - 2);
+        const auto length = boost::asio::read_until(socket_, boost::asio::dynamic_buffer(received_), "\r\n");
+        return received_.substr(0, length - 2);
     }
-    void await(const std::string& text)
+    void read_until_text(const std::string& text)
     {
-        boost::asio::read_until(socket_, boost::asio::dynamic_buffer(heard_), text);
+        boost::asio::read_until(socket_, boost::asio::dynamic_buffer(received_), text);
     }
-    [[nodiscard]] auto rest() -> std::string
+    [[nodiscard]] auto read_to_end() -> std::string
     {
         boost::system::error_code ended;
-        boost::asio::read(socket_, boost::asio::dynamic_buffer(heard_), ended);
+        boost::asio::read(socket_, boost::asio::dynamic_buffer(received_), ended);
         cr_assert(ended == boost::asio::error::eof, "%s", ended.message().c_str());
-        return heard_;
+        return received_;
     }
 
 private:
     boost::asio::io_context io_;
     tcp::socket socket_{io_};
-    std::string heard_;
+    std::string received_;
 };
 
-auto length_of(std::size_t bytes) -> std::string
+auto content_length_field(std::size_t bytes) -> std::string
 {
     return "Content-Length: " + std::to_string(bytes);
 }
@@ -115,23 +115,23 @@
     // a large body and is slow; others send large bodies at the same time, each within its limit. Cause: only
     // the single body was bounded. Those without room are told so before they have sent a byte of it, and one
     // that sends on all the same still sees its answer.
-    const small_server server;
-    upload first(server, length_of(large), "keep-alive");
+    const one_body_server server;
+    upload first(server, content_length_field(large_body_bytes), "keep-alive");
     cr_assert(first.first_line() == "HTTP/1.1 100 Continue");
-    upload second(server, length_of(large));
+    upload second(server, content_length_field(large_body_bytes));
     cr_assert(second.first_line() == "HTTP/1.1 503 Service Unavailable");
-    cr_assert(second.rest().find("\"ran\":\"no\"") != std::string::npos);
-    upload stubborn(server, length_of(large));
-    stubborn.send(std::string(large, 'x'));
-    cr_assert(stubborn.rest().find("503 Service Unavailable") != std::string::npos);
-    upload unmeasured(server, "Transfer-Encoding: chunked");
-    cr_assert(unmeasured.first_line() == "HTTP/1.1 503 Service Unavailable", "it may be as large as any");
-    upload small(server, length_of(1));
+    cr_assert(second.read_to_end().find("\"ran\":\"no\"") != std::string::npos);
+    upload ignores_refusal(server, content_length_field(large_body_bytes));
+    ignores_refusal.send(std::string(large_body_bytes, 'x'));
+    cr_assert(ignores_refusal.read_to_end().find("503 Service Unavailable") != std::string::npos);
+    upload chunked(server, "Transfer-Encoding: chunked");
+    cr_assert(chunked.first_line() == "HTTP/1.1 503 Service Unavailable", "it may be as large as any");
+    upload small(server, content_length_field(1));
     small.send("x");
-    cr_assert(small.rest().find("200 OK") != std::string::npos, "there is room for a small one");
-    first.send(std::string(large, 'x'));
-    first.await("\r\n\r\n" + std::to_string(large));
-    upload after(server, length_of(large));
-    after.send(std::string(large, 'x'));
-    cr_assert(after.rest().find("200 OK") != std::string::npos, "the first one's room is free again");
+    cr_assert(small.read_to_end().find("200 OK") != std::string::npos, "there is room for a small one");
+    first.send(std::string(large_body_bytes, 'x'));
+    first.read_until_text("\r\n\r\n" + std::to_string(large_body_bytes));
+    upload after(server, content_length_field(large_body_bytes));
+    after.send(std::string(large_body_bytes, 'x'));
+    cr_assert(after.read_to_end().find("200 OK") != std::string::npos, "the first one's room is free again");
 }
--- a/tests/log/event_catalogue_test.cpp
+++ b/tests/log/event_catalogue_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-auto docs_row(const event_entry& entry) -> std::string
+auto expected_docs_row(const event_entry& entry) -> std::string
 {
     const std::string remedy = entry.remedy[0] == '\0' ? "-" : entry.remedy;
     return "| " + std::to_string(entry.number()) + " | `" + entry.name + "` | " + to_string(entry.level) +
@@ -72,12 +72,12 @@
             continue;
         }
         cr_assert(next < entries.size(), "docs/events.md has a row without an event: %s", line.c_str());
-        const std::string expected = docs_row(entries[next]);
+        const std::string expected = expected_docs_row(entries[next]);
         cr_assert(line == expected, "docs/events.md has '%s', expected '%s'", line.c_str(), expected.c_str());
         ++next;
     }
     cr_assert(next == entries.size(), "docs/events.md lacks %s",
-              next < entries.size() ? docs_row(entries[next]).c_str() : "");
+              next < entries.size() ? expected_docs_row(entries[next]).c_str() : "");
 }
 
 } // namespace dragonflymill
--- a/tests/log/logger_test.cpp
+++ b/tests/log/logger_test.cpp
@@ -30,7 +30,7 @@
     return name;
 }
 
-auto lines_of(const std::string& file) -> std::vector<std::string>
+auto read_lines(const std::string& file) -> std::vector<std::string>
 {
     std::ifstream in(file);
     std::vector<std::string> lines;
@@ -96,9 +96,9 @@
         }
         cr_assert(started.value().dropped() == 0);
     }
-    cr_assert(lines_of(file).size() == 400, "debug events are below the level");
+    cr_assert(read_lines(file).size() == 400, "debug events are below the level");
     log_event(event::call_replayed);
-    cr_assert(lines_of(file).size() == 400, "nothing is logged without a logger");
+    cr_assert(read_lines(file).size() == 400, "nothing is logged without a logger");
     std::filesystem::remove(file);
 }
 
@@ -150,14 +150,14 @@
 Test(logger, a_pipe_that_nobody_reads_does_not_hold_up_the_end, .timeout = 60)
 {
     std::signal(SIGPIPE, SIG_IGN);
-    std::array<int, 2> ends{};
-    cr_assert(pipe(ends.data()) == 0);
-    cr_assert(fcntl(ends[1], F_SETFL, O_NONBLOCK) == 0);
+    std::array<int, 2> pipe_ends{};
+    cr_assert(pipe(pipe_ends.data()) == 0);
+    cr_assert(fcntl(pipe_ends[1], F_SETFL, O_NONBLOCK) == 0);
     const std::array<char, 4096> filler{};
-    while (write(ends[1], filler.data(), filler.size()) > 0) {
+    while (write(pipe_ends[1], filler.data(), filler.size()) > 0) {
     }
-    cr_assert(fcntl(ends[1], F_SETFL, 0) == 0);
-    cr_assert(dup2(ends[1], STDOUT_FILENO) == STDOUT_FILENO);
+    cr_assert(fcntl(pipe_ends[1], F_SETFL, 0) == 0);
+    cr_assert(dup2(pipe_ends[1], STDOUT_FILENO) == STDOUT_FILENO);
     {
         auto log = logger::start({"p", log_level::info, log_format::json, standard_output_file});
         cr_assert(log.has_value());
--- a/tests/timeline/attempt_timeline_test.cpp
+++ b/tests/timeline/attempt_timeline_test.cpp
@@ -23,7 +23,7 @@
 
 /// What the time line holds after `work` was done with it.
 template <typename Work>
-auto events_of(Work work) -> std::vector<timeline_event>
+auto record_events(Work work) -> std::vector<timeline_event>
 {
     std::string file = (std::filesystem::temp_directory_path() / "dragonflymill-tries-XXXXXX").string();
     const int descriptor = mkstemp(file.data());
@@ -31,8 +31,8 @@
     close(descriptor);
     {
         auto recorder = timeline_recorder::start(process_id("sc"), file, 4096).value();
-        attempt_timeline tries(recorder);
-        work(tries);
+        attempt_timeline timeline(recorder);
+        work(timeline);
     }
     auto reading = read_timeline_files({file}).value();
     std::filesystem::remove(file);
@@ -43,11 +43,11 @@
 
 Test(attempt_timeline, both_ends_give_a_message_the_same_name)
 {
-    const auto events = events_of([](attempt_timeline& tries) {
-        tries.note(sidecar_event(sidecar_input::attempt_opened{call_number(1), attempt("r", 2)}));
-        tries.note(sidecar_action(sidecar_output::grant_attempt{call_number(1), lease_id(1)}));
-        tries.note(sidecar_action(sidecar_output::finish_attempt{call_number(1), 10, "stop"}));
-        tries.note(sidecar_action(sidecar_output::finish_attempt{call_number(1), 10, "stop"}));
+    const auto events = record_events([](attempt_timeline& timeline) {
+        timeline.note(sidecar_event(sidecar_input::attempt_opened{call_number(1), attempt("r", 2)}));
+        timeline.note(sidecar_action(sidecar_output::grant_attempt{call_number(1), lease_id(1)}));
+        timeline.note(sidecar_action(sidecar_output::finish_attempt{call_number(1), 10, "stop"}));
+        timeline.note(sidecar_action(sidecar_output::finish_attempt{call_number(1), 10, "stop"}));
     });
     cr_assert(events.size() == 3, "the end is noted once");
     cr_assert(events[0].end == message_end::receive);
@@ -59,10 +59,10 @@
 
 Test(attempt_timeline, a_cancelled_call_is_forgotten)
 {
-    const auto events = events_of([](attempt_timeline& tries) {
-        tries.note(sidecar_event(sidecar_input::attempt_opened{call_number(1), attempt("r", 1)}));
-        tries.note(sidecar_event(sidecar_input::call_cancelled{call_number(1)}));
-        tries.note(sidecar_action(sidecar_output::grant_attempt{call_number(1), lease_id(1)}));
+    const auto events = record_events([](attempt_timeline& timeline) {
+        timeline.note(sidecar_event(sidecar_input::attempt_opened{call_number(1), attempt("r", 1)}));
+        timeline.note(sidecar_event(sidecar_input::call_cancelled{call_number(1)}));
+        timeline.note(sidecar_action(sidecar_output::grant_attempt{call_number(1), lease_id(1)}));
     });
     cr_assert(events.size() == 1);
 }
--- a/tests/timeline/clock_offsets_test.cpp
+++ b/tests/timeline/clock_offsets_test.cpp
@@ -10,20 +10,20 @@
 namespace {
 
 /// Makes events of processes whose clocks differ by known amounts.
-class fleet
+class event_builder
 {
 public:
-    explicit fleet(std::vector<duration> clocks)
+    explicit event_builder(std::vector<duration> clocks)
         : clocks_(std::move(clocks))
     {
     }
 
     /// A message that leaves `from` at the true time `at` and takes `way`.
-    void message(std::size_t from, std::size_t to, duration at, duration way)
+    void message(std::size_t from, std::size_t to, duration at, duration delay)
     {
         const std::string name = "m" + std::to_string(++last_message_);
         add(from, at, name, message_end::send);
-        add(to, at + way, name, message_end::receive);
+        add(to, at + delay, name, message_end::receive);
     }
 
     void add(std::size_t process, duration at, const std::string& name, message_end end)
@@ -41,14 +41,14 @@
 };
 
 /// What is added to a clock has to undo its difference from the reference's clock.
-auto error_of(const std::vector<clock_offset>& offsets, std::size_t process, duration clock,
-              duration reference_clock) -> duration
+auto offset_error(const std::vector<clock_offset>& offsets, std::size_t process, duration clock,
+                  duration reference_clock) -> duration
 {
     const duration error = offsets[process].offset - (reference_clock - clock);
     return std::max(error, -error);
 }
 
-auto reference_of(const std::vector<clock_offset>& offsets) -> std::size_t
+auto reference_index(const std::vector<clock_offset>& offsets) -> std::size_t
 {
     const auto found = std::find_if(offsets.begin(), offsets.end(), [](const clock_offset& offset) {
         return offset.source == offset_source::reference;
@@ -65,7 +65,7 @@
         const std::vector<duration> clocks{duration(random.below(1'000'000'000)),
                                            duration(random.below(1'000'000'000)),
                                            duration(random.below(1'000'000'000))};
-        fleet processes(clocks);
+        event_builder processes(clocks);
         for (int i = 0; i < 60; ++i) {
             // Only neighbours talk: p0 with p1, p1 with p2. Ways are as asymmetric as they come.
             const std::size_t from = random.below(2);
@@ -74,9 +74,9 @@
                               duration(100 + random.below(5000)));
         }
         const auto offsets = estimate_clock_offsets(processes.events());
-        const std::size_t reference = reference_of(offsets);
+        const std::size_t reference = reference_index(offsets);
         for (std::size_t p = 0; p < 3; ++p) {
-            const duration error = error_of(offsets, p, clocks[p], clocks[reference]);
+            const duration error = offset_error(offsets, p, clocks[p], clocks[reference]);
             cr_assert(error <= offsets[p].uncertainty + duration(2), "seed %d: off by %d us, said %d us",
                       static_cast<int>(seed), static_cast<int>(error.count()),
                       static_cast<int>(offsets[p].uncertainty.count()));
@@ -89,7 +89,7 @@
 {
     // A duplicated message arrives long after its first copy was sent; taken as a pair it would shift the
     // clock.
-    fleet processes({0ms, 500ms});
+    event_builder processes({0ms, 500ms});
     processes.message(0, 1, 1ms, 1ms);
     processes.message(1, 0, 5ms, 1ms);
     processes.add(0, 40ms, "twice", message_end::send);
@@ -102,7 +102,7 @@
 
 Test(clock_offsets, without_answers_the_source_says_so)
 {
-    fleet processes({0ms, 500ms, 90ms});
+    event_builder processes({0ms, 500ms, 90ms});
     processes.message(0, 1, 1ms, 2ms);
     processes.add(2, 3ms, "", message_end::none);
     const auto offsets = estimate_clock_offsets(processes.events());
--- a/tests/timeline/timeline_merge_test.cpp
+++ b/tests/timeline/timeline_merge_test.cpp
@@ -25,7 +25,7 @@
 }
 
 /// A gateway and a sidecar whose clock is 5 s ahead; two requests at the same time.
-auto two_processes() -> std::vector<timeline_event>
+auto two_process_events() -> std::vector<timeline_event>
 {
     return {
         step("gw", 10ms, "r1", "accepted"),
@@ -39,7 +39,7 @@
     };
 }
 
-auto trace_of(const merged_timeline& merged) -> boost::json::array
+auto parse_trace(const merged_timeline& merged) -> boost::json::array
 {
     std::ostringstream out;
     write_trace_events(merged, out);
@@ -50,7 +50,7 @@
 
 Test(timeline_merge, steps_of_two_hosts_fall_in_their_true_order)
 {
-    const auto merged = merge_timelines(two_processes());
+    const auto merged = merge_timelines(two_process_events());
     cr_assert(merged.clocks.size() == 2);
     cr_assert(merged.spans.size() == 3);
     cr_assert(merged.messages.size() == 2);
@@ -65,7 +65,7 @@
 
 Test(timeline_merge, requests_at_the_same_time_get_rows_of_their_own)
 {
-    const auto merged = merge_timelines(two_processes());
+    const auto merged = merge_timelines(two_process_events());
     const std::size_t gateway = merged.process_index(process_id("gw"));
     std::vector<std::size_t> rows;
     for (const request_span& span : merged.spans) {
@@ -78,7 +78,7 @@
 
 Test(timeline_merge, the_same_events_give_the_same_files)
 {
-    auto events = two_processes();
+    auto events = two_process_events();
     std::ostringstream first;
     write_trace_events(merge_timelines(events), first);
     std::ostringstream second;
@@ -91,7 +91,7 @@
     int slices = 0;
     int starts = 0;
     int finishes = 0;
-    for (const auto& value : trace_of(merge_timelines(two_processes()))) {
+    for (const auto& value : parse_trace(merge_timelines(two_process_events()))) {
         const auto& phase = value.as_object().at("ph").as_string();
         slices += phase == "X" ? 1 : 0;
         starts += phase == "s" ? 1 : 0;
@@ -103,7 +103,7 @@
 
 Test(timeline_picture, a_callers_text_cannot_become_part_of_the_page)
 {
-    auto events = two_processes();
+    auto events = two_process_events();
     events[0].request = request_id("</title><script>alert(1)</script>");
     std::ostringstream page;
     write_timeline_picture(merge_timelines(events), page);
@@ -127,13 +127,13 @@
 Test(timeline_file, a_line_cut_off_is_counted_and_the_rest_read)
 {
     std::string text;
-    for (const auto& event : two_processes()) {
+    for (const auto& event : two_process_events()) {
         text += to_json_line(event) + '\n';
     }
     std::istringstream in(text + text.substr(0, 20));
     timeline_reading reading;
     read_timeline(in, reading);
-    cr_assert(reading.events == two_processes());
+    cr_assert(reading.events == two_process_events());
     cr_assert(reading.bad_lines == 1);
     cr_assert(read_timeline_files({"/nonexistent/t.jsonl"}).has_error());
 }
