--- a/include/dragonflymill/core/assert.h
+++ b/include/dragonflymill/core/assert.h
@@ -13,8 +13,8 @@
 
 } // namespace dragonflymill::detail
 
-/// Ends the program when an invariant is broken. On in every build: a decision part that goes on with a
-/// broken invariant could double a booking.
+/// Aborts the process if `condition` is false. Enabled in every build: decision code that continues after a
+/// violated invariant could reserve the same capacity twice.
 #define DRAGONFLYMILL_ASSERT(condition, why)                                                                 \
     do {                                                                                                     \
         if (!(condition)) {                                                                                  \
--- a/include/dragonflymill/core/bounded_ring.h
+++ b/include/dragonflymill/core/bounded_ring.h
@@ -9,19 +9,19 @@
 
 namespace dragonflymill {
 
-/// Queue with a fixed bound between two threads of a daemon. A full ring refuses: the sender counts it and
-/// gives the caller a truthful refusal, instead of memory that grows until the process dies.
+/// Bounded queue between two threads. `try_push` rejects and counts items when the queue is full, which lets
+/// the producer reject the request instead of letting memory grow until the process is killed.
 template <typename T>
 class bounded_ring
 {
 public:
-    /// Holds at most `capacity` items.
+    /// Creates a queue of at most `capacity` items.
     explicit bounded_ring(std::size_t capacity)
         : capacity_(capacity)
     {
     }
 
-    /// Adds an item; false, and counted, if the ring is full or closed.
+    /// Adds an item. Returns false and counts the rejection if the queue is full or closed.
     [[nodiscard]] auto try_push(T item) -> bool
     {
         {
@@ -36,8 +36,9 @@
         return true;
     }
 
-    /// Adds an item, waiting for room: for a producer that must not lose it and may stand still meanwhile,
-    /// such as a socket reader, whose peer then waits too. False only if the ring is closed.
+    /// Adds an item, blocking while the queue is full. For producers that must not lose items and may block,
+    /// such as a socket reader, which thereby applies backpressure to its peer. Returns false only if the
+    /// queue is closed.
     [[nodiscard]] auto push(T item) -> bool
     {
         {
@@ -52,8 +53,8 @@
         return true;
     }
 
-    /// Takes the oldest item, waiting until `timeout` for one; nothing if none came or the ring is closed and
-    /// empty.
+    /// Removes and returns the oldest item, waiting up to `timeout` for one. Returns nothing on timeout, or
+    /// if the queue is closed and empty.
     template <typename Rep, typename Period>
     [[nodiscard]] auto pop_for(std::chrono::duration<Rep, Period> timeout) -> std::optional<T>
     {
@@ -68,7 +69,7 @@
         return item;
     }
 
-    /// Refuses new items from now on and wakes the reader; what is in it can still be taken.
+    /// Rejects further items and wakes all waiting threads; queued items can still be popped.
     void close()
     {
         {
@@ -79,21 +80,21 @@
         room_.notify_all();
     }
 
-    /// Whether it was closed.
+    /// Whether `close` was called.
     [[nodiscard]] auto closed() const -> bool
     {
         const std::lock_guard lock(mutex_);
         return closed_;
     }
 
-    /// Items refused so far.
+    /// Number of items that `try_push` has rejected.
     [[nodiscard]] auto refused() const -> std::uint64_t
     {
         const std::lock_guard lock(mutex_);
         return refused_;
     }
 
-    /// Items in it now.
+    /// Number of queued items.
     [[nodiscard]] auto size() const -> std::size_t
     {
         const std::lock_guard lock(mutex_);
--- a/include/dragonflymill/core/deadline_budget.h
+++ b/include/dragonflymill/core/deadline_budget.h
@@ -6,26 +6,26 @@
 
 namespace dragonflymill {
 
-/// What is left of a request's time limit. Hops pass on the remaining time, never a moment: clocks of two
-/// hosts are not compared.
+/// Remaining time of a request. Hops forward the remaining duration rather than an absolute deadline, since
+/// clocks of different hosts are not comparable.
 class deadline_budget
 {
 public:
-    /// The limit, as remaining when the request was received at `now`.
+    /// Starts the budget for a request received at `now` with `remaining` time left.
     deadline_budget(instant now, duration remaining)
         : end_(now + remaining)
     {
     }
 
-    /// Time left; zero once it has run out, never negative.
+    /// Time left until the deadline; zero after it.
     [[nodiscard]] auto remaining(instant now) const -> duration
     {
         return now >= end_ ? duration::zero() : end_ - now;
     }
-    /// Whether it has run out. Asked again just before a send that can't be repeated, since a process may
-    /// have been paused between its decision and the send.
+    /// Whether the deadline has passed. Must be checked again immediately before a send that is not
+    /// idempotent, since the process may have been paused between the decision and the send.
     [[nodiscard]] auto expired(instant now) const -> bool { return now >= end_; }
-    /// When it runs out on this process's clock.
+    /// Deadline on this process's monotonic clock.
     [[nodiscard]] auto end() const -> instant { return end_; }
 
     // NOLINTNEXTLINE(modernize-use-nullptr): the linter takes the zero of a rewritten a < b for a pointer
--- a/include/dragonflymill/core/error.h
+++ b/include/dragonflymill/core/error.h
@@ -7,28 +7,28 @@
 
 namespace dragonflymill {
 
-/// Kinds of failure that cross a module edge.
+/// Categories of errors that modules return to each other.
 enum class error_kind
 {
-    invalid_input, ///< What was given breaks a rule; giving it again can't help.
-    not_found,     ///< The thing named does not exist.
-    conflict,      ///< It clashes with what is already there.
-    unauthorized,  ///< Who asks is not known or not allowed.
-    limit_reached, ///< A stated bound is full; later may work.
-    unavailable,   ///< The other side can't be reached or is not ready.
-    timed_out,     ///< The time limit ran out.
+    invalid_input, ///< The input violates a rule; a retry can't succeed.
+    not_found,     ///< The named item does not exist.
+    conflict,      ///< The input conflicts with existing state.
+    unauthorized,  ///< The client is unknown or lacks permission.
+    limit_reached, ///< A limit is reached; a later retry may succeed.
+    unavailable,   ///< The peer is unreachable or not ready.
+    timed_out,     ///< The deadline passed.
     corrupt,       ///< Data does not match its digest or signature, or can't be decoded.
-    internal,      ///< A fault of ours.
+    internal,      ///< A bug in this software.
 };
 
-/// Name of an error kind, as it stands in logs and answers.
+/// Name of an error kind as used in logs and responses.
 [[nodiscard]] auto to_string(error_kind kind) -> const char*;
 
-/// A failure, with what to do about it.
+/// An error with a description and a remedy.
 class error
 {
 public:
-    /// `message` says what is wrong; `remedy` what the reader can do.
+    /// `message` describes the error; `remedy` states how to resolve it.
     error(error_kind kind, std::string message, std::string remedy)
         : kind_(kind)
         , message_(std::move(message))
@@ -36,13 +36,13 @@
     {
     }
 
-    /// The kind, for code that reacts to it.
+    /// Category, for code that handles the error.
     [[nodiscard]] auto kind() const -> error_kind { return kind_; }
-    /// What is wrong.
+    /// Description of the error.
     [[nodiscard]] auto message() const -> const std::string& { return message_; }
-    /// What to do about it.
+    /// How to resolve the error.
     [[nodiscard]] auto remedy() const -> const std::string& { return remedy_; }
-    /// Kind, message and remedy in one line.
+    /// Kind, message and remedy on one line.
     [[nodiscard]] auto text() const -> std::string;
 
     friend auto operator==(const error&, const error&) -> bool = default;
@@ -53,11 +53,12 @@
     std::string remedy_;
 };
 
-/// A value or an error; reading the one that is not there ends the program (no exception crosses modules).
+/// A value or an error. Accessing the alternative that is not present terminates the process; no exceptions
+/// cross module boundaries.
 template <typename T>
 using result = boost::outcome_v2::result<T, error, boost::outcome_v2::policy::terminate>;
 
-/// The value of a result that has nothing to say but that it went well.
+/// Return value of a `result<void>` function that succeeded.
 [[nodiscard]] inline auto success()
 {
     return boost::outcome_v2::success();
--- a/include/dragonflymill/core/guard.h
+++ b/include/dragonflymill/core/guard.h
@@ -6,26 +6,26 @@
 
 namespace dragonflymill {
 
-/// Guards that a build can break on purpose (`cmake -DDRAGONFLYMILL_BROKEN_GUARD=NAME`), to show that the
-/// tests of the promise behind them fail without them.
+/// Safety checks that a test build can disable (`cmake -DDRAGONFLYMILL_BROKEN_GUARD=NAME`) to verify that the
+/// tests of the corresponding guarantee fail without them.
 enum class guard
 {
-    none,           ///< Every guard holds.
-    at_most_once,   ///< A ticket runs at most once.
-    cold_ramp,      ///< Outstanding work stays under the ramp.
-    drain,          ///< Nothing new goes to what is taken out.
-    bundle_revert,  ///< The bundle in force never gets older.
-    lease_end,      ///< What a lease held is given back when it ends.
-    stream_offset,  ///< A caller gets each token once, in order.
-    fencing,        ///< No order without the sidecar's own live lease.
-    stream_silence, ///< A stream that makes no progress is given up.
-    gang_release,   ///< A gang that can't be had whole is given back whole.
+    none,           ///< No guard is disabled.
+    at_most_once,   ///< A ticket is executed at most once.
+    cold_ramp,      ///< In-flight work stays within the cold-start ramp.
+    drain,          ///< Draining upstreams and domains receive no new work.
+    bundle_revert,  ///< The version of the bundle in force never decreases.
+    lease_end,      ///< Resources held by a lease are released when it ends.
+    stream_offset,  ///< A client receives each token once, in order.
+    fencing,        ///< A sidecar sends orders only while it holds its own lease.
+    stream_silence, ///< A stream without progress is aborted.
+    gang_release,   ///< A gang that can't be reserved completely is released completely.
 };
 
-/// The guard that this build breaks.
+/// The guard that is disabled in this build.
 inline constexpr guard broken_guard = guard::DRAGONFLYMILL_BROKEN_GUARD;
 
-/// Whether `g` holds in this build; written as `if (guard_holds(guard::drain) && ...)`.
+/// Whether `g` is enabled in this build. Usage: `if (guard_holds(guard::drain) && ...)`.
 [[nodiscard]] constexpr auto guard_holds(guard g) -> bool
 {
     return g != broken_guard;
--- a/include/dragonflymill/core/length_class.h
+++ b/include/dragonflymill/core/length_class.h
@@ -6,16 +6,16 @@
 
 namespace dragonflymill {
 
-/// A count of tokens; also the unit of prefill work.
+/// Number of tokens; also the unit of prefill work.
 using token_count = std::int64_t;
 
-/// Classes of requests by predicted prefill work. Each has capacity, connections and priority of its own.
+/// Request classes by predicted prefill work. Each has its own capacity, connections and priority.
 enum class length_class
 {
-    interactive, ///< Up to 4,096 tokens of prefill: a caller waits for the first token.
-    medium,      ///< Up to 32,768 tokens.
-    bulk,        ///< What one engine can still hold.
-    gang,        ///< Larger than one engine's memory: several engines hold it together.
+    interactive, ///< Up to 4,096 tokens of prefill; sensitive to time to first token.
+    medium,      ///< Up to 32,768 tokens of prefill.
+    bulk,        ///< Larger prefill, but the request fits into the memory of one engine.
+    gang,        ///< Exceeds the memory of one engine; distributed over several.
 };
 
 /// Every length class, shortest first.
@@ -30,17 +30,17 @@
 /// Largest predicted prefill of the medium class, in tokens.
 inline constexpr token_count medium_limit = 32'768;
 
-/// Name of a class, as it stands in metrics and logs.
+/// Name of a class as used in metrics and logs.
 [[nodiscard]] auto to_string(length_class value) -> const char*;
 
-/// Index of a class, for arrays that have an element for each.
+/// Index of a class in arrays with one element per class.
 [[nodiscard]] constexpr auto index_of(length_class value) -> std::size_t
 {
     return static_cast<std::size_t>(value);
 }
 
-/// Class of a request with `prefill` tokens not in any cache and `total` tokens to hold, where one engine
-/// holds `engine_memory`.
+/// Returns the class of a request with `prefill` uncached tokens and a KV cache of `total` tokens;
+/// `engine_memory` is the KV cache capacity of one engine in tokens.
 [[nodiscard]] auto classify(token_count prefill, token_count total, token_count engine_memory)
     -> length_class;
 
--- a/include/dragonflymill/core/random_source.h
+++ b/include/dragonflymill/core/random_source.h
@@ -4,12 +4,12 @@
 
 namespace dragonflymill {
 
-/// Seeded generator (SplitMix64). The standard library's distributions differ between implementations, so
-/// that decisions drawn with them would not repeat; this one does, bit for bit.
+/// Seeded pseudo-random generator (SplitMix64). Produces the same sequence on every platform, unlike the
+/// distributions of the standard library, which differ between implementations.
 class random_source
 {
 public:
-    /// Starts the sequence that belongs to `seed`.
+    /// Starts the sequence determined by `seed`.
     explicit constexpr random_source(std::uint64_t seed)
         : state_(seed)
     {
@@ -25,10 +25,10 @@
         return z ^ (z >> 31U);
     }
 
-    /// A number from 0 to `bound` - 1; 0 if `bound` is 0.
+    /// Random number from 0 to `bound` - 1; 0 if `bound` is 0.
     constexpr auto below(std::uint64_t bound) -> std::uint64_t { return bound == 0 ? 0 : next() % bound; }
 
-    /// A number in [0, 1).
+    /// Random number in [0, 1).
     constexpr auto unit() -> double { return static_cast<double>(next() >> 11U) * 0x1.0p-53; }
 
     /// True with probability `p`.
--- a/include/dragonflymill/core/refusal.h
+++ b/include/dragonflymill/core/refusal.h
@@ -6,46 +6,46 @@
 
 namespace dragonflymill {
 
-/// Whether a refused request was run. `no` is said only if it is certain.
+/// Whether a refused request was executed. `no` is reported only if that is certain.
 enum class ran_state
 {
-    no,      ///< No byte that could start the work left for the upstream, and none will.
-    unknown, ///< The work may have been run.
+    no,      ///< Nothing that could start the work was or will be sent to the upstream.
+    unknown, ///< The work may have been executed.
 };
 
 /// Why a request was refused.
 enum class refusal_code
 {
     account_limit,  ///< The client account is at one of its limits.
-    overloaded,     ///< No capacity for this class of request now.
-    upstream_cold,  ///< The upstreams are warming up and carry what they can.
-    upstream_gone,  ///< The upstream was lost while it had the request.
-    draining,       ///< The upstream or its failure domain takes no new work.
-    stopping,       ///< This process is stopping.
-    deadline,       ///< The request's time limit ran out.
-    ticket_unknown, ///< The ticket's issuer is gone; whether it ran can't be told.
-    not_ready,      ///< No bundle is in force here yet.
-    no_route,       ///< No upstream is configured for it.
-    too_large,      ///< Larger than any upstream, or group of upstreams, can hold.
-    cancelled,      ///< The caller left or cancelled it.
-    internal,       ///< A fault of ours.
-    conflict,       ///< The ticket or key was used before with another body; this one was not run.
+    overloaded,     ///< No capacity for this request class at present.
+    upstream_cold,  ///< The upstreams are in cold start and at their current limit.
+    upstream_gone,  ///< The upstream failed while processing the request.
+    draining,       ///< The upstream or its failure domain accepts no new work.
+    stopping,       ///< This process is shutting down.
+    deadline,       ///< The request's deadline passed.
+    ticket_unknown, ///< The ticket's issuer is gone; the outcome can't be determined.
+    not_ready,      ///< This process has no bundle in force yet.
+    no_route,       ///< No upstream is configured for the request.
+    too_large,      ///< Exceeds the memory of every upstream and group of upstreams.
+    cancelled,      ///< The client disconnected or cancelled the request.
+    internal,       ///< A bug in this software.
+    conflict,       ///< The ticket or idempotency key was used with a different body; not executed.
 };
 
-/// Whether the reason passes, so that another try could end differently.
+/// Whether the refusal is transient, i.e. a later attempt could succeed.
 [[nodiscard]] auto is_passing(refusal_code code) -> bool;
-/// Name of a refusal code, as it stands in answers and logs.
+/// Name of a refusal code as used in responses and logs.
 [[nodiscard]] auto to_string(refusal_code code) -> const char*;
-/// Name of a ran state, as it stands in answers and logs.
+/// Name of a ran state as used in responses and logs.
 [[nodiscard]] auto to_string(ran_state ran) -> const char*;
 
-/// The final answer to a request that was not, or may not have been, served.
+/// Final response to a request that was not, or may not have been, executed.
 struct refusal
 {
-    refusal_code code = refusal_code::internal; ///< Why.
-    ran_state ran = ran_state::unknown;         ///< Whether it was run.
-    duration retry_after{0};                    ///< When to come back; zero when coming back can't help.
-    std::string remedy;                         ///< What the caller can do.
+    refusal_code code = refusal_code::internal; ///< Reason of the refusal.
+    ran_state ran = ran_state::unknown;         ///< Whether the request was executed.
+    duration retry_after{0};                    ///< Delay before a retry; zero if a retry can't succeed.
+    std::string remedy;                         ///< What the client can do.
 
     friend auto operator==(const refusal&, const refusal&) -> bool = default;
 };
--- a/include/dragonflymill/core/strong_id.h
+++ b/include/dragonflymill/core/strong_id.h
@@ -8,7 +8,7 @@
 
 namespace dragonflymill {
 
-/// A name that can't be mixed up with a name of another kind.
+/// Strongly typed string identifier; identifiers with different tags don't convert to each other.
 template <typename Tag>
 class name_id
 {
@@ -22,7 +22,7 @@
 
     /// The text of the name.
     [[nodiscard]] auto text() const -> const std::string& { return text_; }
-    /// Whether no name was given.
+    /// Whether the name is empty.
     [[nodiscard]] auto empty() const -> bool { return text_.empty(); }
 
     // NOLINTNEXTLINE(modernize-use-nullptr): the linter takes the zero of a rewritten a < b for a pointer
@@ -32,7 +32,7 @@
     std::string text_;
 };
 
-/// A number that can't be mixed up with a number of another kind.
+/// Strongly typed integer identifier; identifiers with different tags don't convert to each other.
 template <typename Tag>
 class number_id
 {
@@ -44,7 +44,7 @@
     {
     }
 
-    /// The number itself.
+    /// The underlying number.
     [[nodiscard]] constexpr auto value() const -> std::uint64_t { return value_; }
 
     // NOLINTNEXTLINE(modernize-use-nullptr): the linter takes the zero of a rewritten a < b for a pointer
--- a/src/core/units.cpp
+++ b/src/core/units.cpp
@@ -24,7 +24,7 @@
 constexpr std::int64_t seconds_per_day = 86'400;
 constexpr std::int64_t max_count = 999'999'999'999'999'999;
 
-// Longest suffix first, so that `ms` is not read as `s`.
+// Longest suffix first, since `58ms` also ends with `s`. Ascending factors, which `to_text` relies on.
 constexpr std::array<unit, 6> duration_units{{{"us", 1},
                                               {"ms", 1'000},
                                               {"s", microseconds_per_second},
--- a/src/runtime/base64.cpp
+++ b/src/runtime/base64.cpp
@@ -13,7 +13,7 @@
     if (size < 0) {
         return std::nullopt;
     }
-    // OpenSSL counts the padding as bytes.
+    // EVP_DecodeBlock includes the padding in the returned size.
     const std::size_t padding = text.ends_with("==") ? 2 : (text.ends_with("=") ? 1 : 0);
     bytes.resize(static_cast<std::size_t>(size) - padding);
     return bytes;
--- a/src/runtime/base64.h
+++ b/src/runtime/base64.h
@@ -5,7 +5,8 @@
 
 namespace dragonflymill::runtime {
 
-/// Bytes of a text in standard base64 with padding; blanks around it don't count. Nothing if it is none.
+/// Decodes standard base64 with padding; surrounding white space is ignored. Returns nothing if `text` is not
+/// valid base64.
 [[nodiscard]] auto decode_base64(const std::string& text) -> std::optional<std::string>;
 
 } // namespace dragonflymill::runtime
--- a/src/runtime/duty_thread.h
+++ b/src/runtime/duty_thread.h
@@ -11,16 +11,16 @@
 
 namespace dragonflymill::runtime {
 
-/// A thread with one duty: it takes events from its bounded ring, one at a time, and looks at its timers in
-/// between.
+/// Event loop thread: handles events from a bounded queue one at a time and lets the handler check its timers
+/// when none arrives.
 template <typename Event>
 class duty_thread
 {
 public:
-    /// Called with each event, and with none when `idle_wait` passes without one.
+    /// Called with each event, or without one after `idle_wait` without an event.
     using handler = std::function<void(std::optional<Event>)>;
 
-    /// `capacity` bounds the ring; `idle_wait` bounds how late a timer is seen.
+    /// `capacity` limits the queue; `idle_wait` is the maximum delay of a timer while no events arrive.
     duty_thread(std::size_t capacity, duration idle_wait)
         : ring_(capacity)
         , idle_wait_(idle_wait)
@@ -36,15 +36,15 @@
         thread_ = std::thread([this, on_event = std::move(on_event)] { run(on_event); });
     }
 
-    /// Hands over an event; false if the ring is full or the thread is stopping, and the sender must answer
-    /// for it.
+    /// Queues an event. Returns false if the queue is full or the thread is stopping; the caller must then
+    /// handle the failure.
     [[nodiscard]] auto post(Event event) -> bool { return ring_.try_push(std::move(event)); }
 
-    /// Hands over an event, waiting for room; false only if the thread is stopping. Never called from the
-    /// thread itself or from one that it waits for.
+    /// Queues an event, blocking while the queue is full. Returns false only if the thread is stopping. Must
+    /// not be called from this thread or from a thread that it waits for, which would deadlock.
     [[nodiscard]] auto post_waiting(Event event) -> bool { return ring_.push(std::move(event)); }
 
-    /// Takes no further events, handles those in the ring and ends the thread.
+    /// Rejects further events, handles the queued ones and joins the thread.
     void stop()
     {
         ring_.close();
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Events refused because the ring was full.
+    /// Number of events rejected because the queue was full or closed.
     [[nodiscard]] auto refused() const -> std::uint64_t { return ring_.refused(); }
 
 private:
--- a/src/runtime/io_thread.h
+++ b/src/runtime/io_thread.h
@@ -6,8 +6,7 @@
 
 namespace dragonflymill::runtime {
 
-/// A thread whose duty is socket work: everything on its context runs on that one thread, so nothing there
-/// needs a lock.
+/// Runs an I/O context on a single thread; handlers on that context need no locks.
 class io_thread
 {
 public:
@@ -25,7 +24,7 @@
         thread_ = std::thread([this] { context_.run(); });
     }
 
-    /// Ends the thread; what is still open on the context is dropped.
+    /// Stops the context and joins the thread; pending operations are abandoned.
     void stop()
     {
         work_.reset();
@@ -35,7 +34,7 @@
         }
     }
 
-    /// The context that sockets and timers of this duty belong to.
+    /// Context for the sockets and timers of this thread.
     [[nodiscard]] auto context() -> boost::asio::io_context& { return context_; }
 
 private:
--- a/src/runtime/latest.h
+++ b/src/runtime/latest.h
@@ -5,7 +5,7 @@
 
 namespace dragonflymill::runtime {
 
-/// The newest value that one thread has for others.
+/// Most recent value, shared between threads under a mutex.
 template <typename T>
 class latest
 {
@@ -16,7 +16,7 @@
         const std::lock_guard lock(mutex_);
         value_ = std::move(value);
     }
-    /// The value as it is now.
+    /// Returns a copy of the current value.
     [[nodiscard]] auto get() const -> T
     {
         const std::lock_guard lock(mutex_);
--- a/tests/core/random_source_test.cpp
+++ b/tests/core/random_source_test.cpp
@@ -12,7 +12,7 @@
     cr_assert(source.next() == 0xbeeb8da1658eec67ULL);
 }
 
-Test(stable_hash, rendezvous_moves_only_keys_of_the_node_that_left)
+Test(stable_hash, removing_a_node_moves_only_its_own_keys)
 {
     constexpr std::uint64_t keys = 1'000;
     for (std::uint64_t key = 0; key < keys; ++key) {
--- a/tests/core/units_test.cpp
+++ b/tests/core/units_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace dragonflymill;
 
-Test(units, durations_need_a_unit)
+Test(units, durations_require_a_unit)
 {
     cr_assert(parse_duration("30s").value() == 30s);
     cr_assert(parse_duration(" 58ms ").value() == 58ms);
@@ -41,7 +41,7 @@
     }
 }
 
-Test(units, moments_are_utc_and_round_trip)
+Test(units, timestamps_are_utc_and_round_trip)
 {
     const auto moment = parse_wall_instant("2027-12-31T23:59:59Z");
     cr_assert(moment.has_value());
@@ -53,7 +53,7 @@
     }
 }
 
-Test(units, durations_are_written_with_their_largest_whole_unit)
+Test(units, durations_are_formatted_with_the_largest_integral_unit)
 {
     cr_assert(to_text(duration(30s)) == "30s");
     cr_assert(to_text(duration(1500ms)) == "1500ms");
@@ -61,7 +61,7 @@
     cr_assert(to_text(duration::zero()) == "0us");
 }
 
-Test(units, counts_and_words)
+Test(units, parses_counts_and_booleans)
 {
     cr_assert(parse_count("16").value() == 16);
     cr_assert(parse_count("1k").has_error());
