--- a/src/http/body_budget.h
+++ b/src/http/body_budget.h
@@ -5,21 +5,21 @@
 
 namespace dragonflymill::http {
 
-/// Bytes that the bodies of all requests in hand may take together. Used on the server's thread alone.
+/// Limits the total size of the bodies of all requests in flight. Used only on the server's thread.
 ///
-/// Guarded failure: many callers at once send bodies that are each within their limit, and the process is
-/// ended for its memory. It holds because a body's bytes are claimed before the first of them is read, and
-/// given back when the request is over; without room the request is refused.
+/// Prevents the process from being killed for its memory use when many clients at once send bodies that are
+/// each within the limit of a single body. The bytes of a body are claimed before the body is read and
+/// released when the request ends; a request whose claim fails is rejected.
 class body_budget
 {
 public:
-    /// Allows `size` bytes together.
+    /// Creates a budget of `size` bytes in total.
     explicit body_budget(std::size_t size)
         : size_(size)
     {
     }
 
-    /// Takes bytes; false if there is no room for them.
+    /// Reserves bytes. Returns false if the budget has too few left.
     [[nodiscard]] auto take(std::size_t bytes) -> bool
     {
         if (bytes > size_ - taken_) {
@@ -28,7 +28,7 @@
         taken_ += bytes;
         return true;
     }
-    /// Gives bytes back.
+    /// Returns bytes to the budget.
     void give_back(std::size_t bytes) { taken_ -= bytes; }
 
 private:
@@ -36,11 +36,11 @@
     std::size_t taken_ = 0;
 };
 
-/// What one request has claimed; given back at its end.
+/// Bytes claimed by one request; released on destruction.
 class body_claim
 {
 public:
-    /// Claims from `budget`, which may be null: then there is no bound.
+    /// Claims from `budget`; if it is null, every claim succeeds.
     explicit body_claim(std::shared_ptr<body_budget> budget)
         : budget_(std::move(budget))
     {
@@ -49,7 +49,7 @@
     body_claim(const body_claim&) = delete;
     auto operator=(const body_claim&) -> body_claim& = delete;
 
-    /// Claims bytes; false if there is no room for them.
+    /// Claims bytes. Returns false if the budget has too few left.
     [[nodiscard]] auto claim(std::size_t bytes) -> bool
     {
         if (budget_ && !budget_->take(bytes)) {
@@ -58,7 +58,7 @@
         held_ += bytes;
         return true;
     }
-    /// Keeps only so many of the claimed bytes.
+    /// Reduces the claim to `bytes`; has no effect if it is smaller.
     void shrink(std::size_t bytes)
     {
         if (budget_ && bytes < held_) {
@@ -66,7 +66,7 @@
             held_ = bytes;
         }
     }
-    /// Gives all back.
+    /// Releases the whole claim.
     void release() { shrink(0); }
 
 private:
--- a/src/http/error_body.h
+++ b/src/http/error_body.h
@@ -7,8 +7,8 @@
 
 namespace dragonflymill::http {
 
-/// Body of an answer to a request that was not served: `{"error":{"code","ran","retry_after_ms","remedy"}}`.
-/// The time to come back is rounded up to whole milliseconds.
+/// Body of an error response: `{"error":{"code","ran","retry_after_ms","remedy"}}`. `retry_after` is rounded
+/// up to whole milliseconds.
 [[nodiscard]] auto error_body(std::string_view code, ran_state ran, duration retry_after,
                               std::string_view remedy) -> boost::json::object;
 
--- a/src/http/http_call.cpp
+++ b/src/http/http_call.cpp
@@ -59,14 +59,14 @@
     if (over_) {
         return;
     }
-    // Asked just before the first byte leaves: the process may have been paused since the decision, and
-    // whoever made it may have been told by now that the call was not run.
+    // Checked immediately before the first byte is sent: the process may have been paused since the decision
+    // to call, and the call may have been reported as not run in the meantime.
     if (failure || runtime::now() >= not_after) {
         end(call_end::not_sent);
         return;
     }
     error_code ignored;
-    // NOLINTNEXTLINE(bugprone-unused-return-value): without it the call is only slower
+    // NOLINTNEXTLINE(bugprone-unused-return-value): best effort; failure only adds latency
     stream_.socket().set_option(boost::asio::ip::tcp::no_delay(true), ignored);
     stream_.expires_after(limits_.first_byte_timeout);
     const std::array<boost::asio::const_buffer, 2> parts{boost::asio::buffer(head_),
--- a/src/http/http_call.h
+++ b/src/http/http_call.h
@@ -19,46 +19,47 @@
 
 namespace dragonflymill::http {
 
-/// How a call of ours to an HTTP server ended.
+/// Result of an outgoing HTTP call.
 enum class call_end
 {
-    whole,    ///< The answer came whole.
-    not_sent, ///< No byte of the request left.
-    broken,   ///< Something left, and no whole answer came.
+    whole,    ///< The complete response was received.
+    not_sent, ///< No byte of the request was sent.
+    broken,   ///< Part of the request may have been sent, but no complete response was received.
 };
 
-/// Times and bounds of one call.
+/// Timeouts and size limits of one call.
 struct call_limits
 {
-    duration connect_timeout = 1s;                 ///< For opening the connection.
-    duration first_byte_timeout = 120s;            ///< From the request's last byte to the answer's first.
-    duration silence_timeout = 10s;                ///< Between two pieces of the answer.
-    std::size_t max_header_bytes = 16 * 1024;      ///< Header of the answer.
-    std::size_t max_body_bytes = 64 * 1024 * 1024; ///< Body of the answer.
+    duration connect_timeout = 1s;      ///< For establishing the connection.
+    duration first_byte_timeout = 120s; ///< From the last byte of the request to the first of the response.
+    duration silence_timeout = 10s;     ///< Between two reads of the response body.
+    std::size_t max_header_bytes = 16 * 1024;      ///< Size of the response header.
+    std::size_t max_body_bytes = 64 * 1024 * 1024; ///< Size of the response body.
 };
 
-/// What the caller of a call is told, all on the context's thread.
+/// Callbacks of a call, invoked on the context's thread.
 struct call_handlers
 {
     std::function<void(unsigned status, const std::string& content_type)>
-        on_header;                                        ///< The answer's header is here.
-    std::function<void(std::string_view bytes)> on_bytes; ///< A piece of the answer's body.
-    std::function<void(call_end end)> on_end;             ///< Called once, last, unless the call was dropped.
+        on_header;                                        ///< The response header was received.
+    std::function<void(std::string_view bytes)> on_bytes; ///< A part of the response body was received.
+    std::function<void(call_end end)> on_end;             ///< Called once, last, unless the call is dropped.
 };
 
-/// One request of ours to an HTTP server, on a connection of its own: opening it proves the way alive just
-/// before the request leaves, which an old connection that went silent can't.
+/// One outgoing HTTP request on a new connection. Establishing the connection verifies that the server is
+/// reachable immediately before the request is sent; a pooled connection may have failed unnoticed.
 class http_call : public std::enable_shared_from_this<http_call>
 {
 public:
-    /// A call to `server`, all of whose work runs on `context`.
+    /// Prepares a call to `server`; all handlers run on `context`.
     http_call(boost::asio::io_context& context, boost::asio::ip::tcp::endpoint server, call_limits limits);
 
-    /// Connects and sends, but not after `not_after`.
+    /// Connects and sends the request. Ends with `not_sent` if connecting fails or completes at or after
+    /// `not_after`.
     void start(http_request request, instant not_after, call_handlers handlers);
-    /// From now on a pause of the answer longer than this ends the call.
+    /// Sets the silence timeout for the following reads of the response body.
     void silence_after(duration pause) { limits_.silence_timeout = pause; }
-    /// Closes the connection and calls no handler any more.
+    /// Closes the connection without calling any further handler.
     void drop();
 
 private:
--- a/src/http/http_server.cpp
+++ b/src/http/http_server.cpp
@@ -44,7 +44,7 @@
 {
     stopping_ = true;
     error_code ignored;
-    acceptor_.close(ignored); // NOLINT(bugprone-unused-return-value): it is closed either way
+    acceptor_.close(ignored); // NOLINT(bugprone-unused-return-value): the acceptor is closed even on error
     for (const auto& weak : sessions_) {
         if (const auto session = weak.lock()) {
             session->stop_when_idle();
@@ -67,7 +67,7 @@
         if (!failure) {
             error_code ignored;
             socket.set_option(tcp::no_delay(true),
-                              ignored); // NOLINT(bugprone-unused-return-value): only slower
+                              ignored); // NOLINT(bugprone-unused-return-value): best effort
             const auto session =
                 std::make_shared<http_session>(std::move(socket), limits_, handlers_, numbers_, bodies_);
             if (sessions_.size() >= limits_.max_connections) {
--- a/src/http/http_server.h
+++ b/src/http/http_server.h
@@ -11,20 +11,21 @@
 
 namespace dragonflymill::http {
 
-/// Accepts callers' connections on one context and thread.
+/// Accepts client connections on a single-threaded context.
 class http_server
 {
 public:
-    /// Sessions run on `context`; `handlers` see their requests.
+    /// Sessions run on `context` and pass their requests to `handlers`.
     http_server(boost::asio::io_context& context, http_limits limits, request_handlers handlers);
 
-    /// Listens on `address`, given as IP:port; port 0 takes a free one.
+    /// Listens on `address` (IP:port); port 0 selects a free port.
     [[nodiscard]] auto listen(const std::string& address) -> result<void>;
-    /// The address it listens on.
+    /// Local address (IP:port) of the listening socket.
     [[nodiscard]] auto local_address() const -> std::string;
-    /// Accepts no further connection and closes those that are idle. Runs on the context's thread.
+    /// Stops accepting connections and closes idle ones; the others close after their current request. Must
+    /// run on the context's thread.
     void stop_accepting();
-    /// Connections open now. Read on the context's thread.
+    /// Number of open connections. Must be called on the context's thread.
     [[nodiscard]] auto connection_count() -> std::size_t;
 
 private:
--- a/src/http/http_session.cpp
+++ b/src/http/http_session.cpp
@@ -88,7 +88,7 @@
 
 auto http_session::claim_body() -> bool
 {
-    // One that says no length may send as much as any: the rest is given back once it is read.
+    // A chunked body has no declared length and claims the maximum; the excess is released after reading.
     const auto length = parser_->content_length();
     return body_.claim(length || !parser_->chunked() ? static_cast<std::size_t>(length.value_or(0))
                                                      : limits_.max_body_bytes);
@@ -158,8 +158,9 @@
 
 void http_session::watch_for_close()
 {
-    // A caller that closes, even only its sending side, has left: its work is cancelled down to the engine.
-    // Bytes that arrive instead are the next request; they wait in the socket until this one is answered.
+    // A client that closes the connection or only its sending side has disconnected; its work is cancelled
+    // through to the engine. Bytes that arrive instead belong to the next request and stay in the socket
+    // until the current response is sent.
     const auto watched = exchange_;
     stream_.socket().async_wait(
         boost::asio::ip::tcp::socket::wait_read, [self = shared_from_this(), watched](error_code failure) {
@@ -253,8 +254,8 @@
     }
     unsent_bytes_ += bytes.size();
     if (unsent_bytes_ > limits_.max_unsent_bytes && !last) {
-        // A reader this slow would make us hold its whole answer; it is cut off, and sees a stream without an
-        // end.
+        // Disconnects a client that reads too slowly, since its response would be buffered without limit. The
+        // client sees a truncated stream.
         caller_left();
         return;
     }
@@ -313,9 +314,9 @@
 
 void http_session::discard_then_shut()
 {
-    // Closed at once with bytes unread, the connection is reset and the caller may never see its answer.
+    // Closing a socket with unread bytes resets the connection, and the client may lose the response.
     error_code ignored;
-    // NOLINTNEXTLINE(bugprone-unused-return-value): a caller that is gone shows at the next read
+    // NOLINTNEXTLINE(bugprone-unused-return-value): a disconnected client is detected by the next read
     stream_.socket().shutdown(boost::asio::ip::tcp::socket::shutdown_send, ignored);
     buffer_.clear();
     stream_.expires_after(limits_.write_timeout);
@@ -337,7 +338,7 @@
         if (failure || self->exchange_ != exchange || self->state_ != state::streaming) {
             return;
         }
-        // Shows both ends that the connection is alive while the engine is still reading a long prompt.
+        // Keeps the connection alive while the engine is still in the prefill of a long prompt.
         self->write_out(chunk_text(": waiting\n\n"), false);
         self->schedule_comment();
     });
@@ -349,7 +350,7 @@
     body_.release();
     comment_timer_.cancel();
     error_code ignored;
-    // NOLINTNEXTLINE(bugprone-unused-return-value): the connection is given up either way
+    // NOLINTNEXTLINE(bugprone-unused-return-value): the connection is closed in any case
     stream_.socket().shutdown(boost::asio::ip::tcp::socket::shutdown_both, ignored);
     stream_.close();
 }
--- a/src/http/http_session.h
+++ b/src/http/http_session.h
@@ -20,25 +20,26 @@
 
 class http_session;
 
-/// What a server does with its requests. Both are called on the server's thread.
+/// Callbacks of an HTTP server, invoked on the server's thread.
 struct request_handlers
 {
-    /// Called with each whole request; answers with the session's `respond` or `open_events`.
+    /// Called with each complete request; must respond with the session's `respond` or `open_events`.
     std::function<void(const std::shared_ptr<http_session>&, http_request)> on_request;
-    /// Called once for a request whose caller left before it was answered whole.
+    /// Called once for a request whose client disconnected before the complete response was sent.
     std::function<void(std::uint64_t exchange)> on_caller_left;
-    /// Gives the answer to a request for whose body there is no room; an answer of the server's own if empty.
+    /// Returns the response to a request whose body exceeds the body budget; if empty, a default 503 response
+    /// is sent.
     std::function<http_response()> on_no_room{};
 };
 
-/// One caller's connection, a request at a time. `respond`, `open_events`, `send_event` and `close_events`
-/// may be called from any thread; they name the exchange, so that an answer that comes late can't reach the
-/// next request of the same connection.
+/// One client connection, which serves one request at a time. `respond`, `open_events`, `send_event` and
+/// `close_events` may be called from any thread. They take the exchange number, since a late response must
+/// not be sent for the next request on the same connection.
 class http_session : public std::enable_shared_from_this<http_session>
 {
 public:
-    /// Takes over an accepted connection; `numbers` gives each exchange its number, and bodies are claimed
-    /// from `bodies`.
+    /// Takes ownership of an accepted connection. `numbers` is the shared exchange counter of the server;
+    /// `bodies` is the shared body budget.
     http_session(boost::asio::ip::tcp::socket socket, const http_limits& limits,
                  const request_handlers& handlers, std::shared_ptr<std::uint64_t> numbers,
                  std::shared_ptr<body_budget> bodies);
@@ -46,24 +47,24 @@
     http_session(const http_session&) = delete;
     auto operator=(const http_session&) -> http_session& = delete;
 
-    /// Reads the first request.
+    /// Starts reading the first request.
     void start();
-    /// Answers and closes without reading a request: there are too many connections.
+    /// Sends 503 and closes without reading a request; used when too many connections are open.
     void refuse_connection();
 
-    /// Number of the request being served, unique within the server; read it on the server's thread.
+    /// Number of the current request, unique within the server. Must be read on the server's thread.
     [[nodiscard]] auto exchange() const -> std::uint64_t { return exchange_; }
 
-    /// Answers the exchange whole.
+    /// Sends the complete response of an exchange.
     void respond(std::uint64_t exchange, http_response response);
-    /// Answers with a stream of server-sent events.
+    /// Starts a response that is a stream of server-sent events.
     void open_events(std::uint64_t exchange, std::vector<header_field> fields);
-    /// Sends one event's payload on the open stream.
+    /// Sends one event with `payload` as data on the open stream.
     void send_event(std::uint64_t exchange, std::string payload);
-    /// Ends the stream. A stream that ends otherwise has no last chunk, so a caller can tell that it is not
-    /// whole.
+    /// Ends the stream with the last chunk. A stream that is aborted lacks it, which lets the client detect
+    /// the truncation.
     void close_events(std::uint64_t exchange);
-    /// Closes when idle and takes no further request: the process is stopping.
+    /// Closes the connection when it is idle and accepts no further request. Used during shutdown.
     void stop_when_idle();
 
 private:
@@ -109,7 +110,7 @@
     bool last_queued_ = false;
     bool keep_alive_ = false;
     bool stopping_ = false;
-    bool body_unread_ = false; // what the caller still sends is thrown away, so that it gets its answer
+    bool body_unread_ = false; // discard the rest of the request before closing, see discard_then_shut
     std::size_t discarded_ = 0;
 };
 
--- a/src/http/http_text.h
+++ b/src/http/http_text.h
@@ -10,21 +10,21 @@
 
 namespace dragonflymill::http {
 
-/// Bytes of a whole answer.
+/// Serializes a complete response.
 [[nodiscard]] auto response_text(const http_response& response, bool keep_alive) -> std::string;
-/// Header of an answer that is a stream of server-sent events in chunks.
+/// Header of a chunked response that is a stream of server-sent events.
 [[nodiscard]] auto event_stream_header(const std::vector<header_field>& fields, bool keep_alive)
     -> std::string;
-/// One chunk of a chunked answer.
+/// One chunk of a chunked response.
 [[nodiscard]] auto chunk_text(std::string_view payload) -> std::string;
-/// The chunk that ends a chunked answer.
+/// Last chunk of a chunked response.
 [[nodiscard]] auto last_chunk_text() -> std::string;
 
-/// An answer `{"error":{"code","ran":"no","retry_after_ms":0,"remedy"}}` for a request that went no further
-/// than here.
+/// Response `{"error":{"code","ran":"no","retry_after_ms":0,"remedy"}}` to a request that was not forwarded.
 [[nodiscard]] auto error_response(unsigned status, const std::string& code, const std::string& remedy)
     -> http_response;
-/// What a caller is told whose request could not be read.
+/// Error response to a request that could not be read: 408 on a timeout, 413 or 431 over a size limit, else
+/// 400.
 [[nodiscard]] auto unreadable_response(boost::system::error_code failure, const http_limits& limits)
     -> http_response;
 
--- a/src/http/sse_parser.h
+++ b/src/http/sse_parser.h
@@ -9,19 +9,19 @@
 
 namespace dragonflymill::http {
 
-/// Cuts a stream of server-sent events into the payloads of their `data:` lines. Comments and other fields
-/// are left out. An event over the limit is an error, so that a faulty peer can't make us hold unbounded
-/// text.
+/// Incremental parser of server-sent events that extracts the `data:` payloads; comments and other fields are
+/// ignored. An event over the size limit is an error, which bounds the memory that a faulty peer can use.
 class sse_parser
 {
 public:
-    /// `max_event_bytes` bounds one event.
+    /// `max_event_bytes` is the maximum size of one event.
     explicit sse_parser(std::size_t max_event_bytes)
         : max_event_bytes_(max_event_bytes)
     {
     }
 
-    /// Takes the next bytes of the stream; gives the payloads of the events that are complete with them.
+    /// Parses the next bytes of the stream and returns the payloads of the events they complete. Fails with
+    /// `limit_reached` if an event is too large.
     [[nodiscard]] auto feed(std::string_view bytes) -> result<std::vector<std::string>>;
 
 private:
--- a/src/http/whole_answer.h
+++ b/src/http/whole_answer.h
@@ -6,10 +6,11 @@
 
 namespace dragonflymill::http {
 
-/// Told how a call ended and what of its answer came; the answer is whole only if the end says so.
+/// Receives the result of a call and the part of the response that arrived; the response is complete only if
+/// `end` is `call_end::whole`.
 using answer_handler = std::function<void(call_end end, const http_response& answer)>;
 
-/// Handlers for a call whose answer is wanted in one piece.
+/// Returns call handlers that buffer the response and pass it to `done` when the call ends.
 [[nodiscard]] auto gather_answer(answer_handler done) -> call_handlers;
 
 } // namespace dragonflymill::http
--- a/tests/http/body_budget_test.cpp
+++ b/tests/http/body_budget_test.cpp
@@ -17,7 +17,7 @@
 using boost::asio::ip::tcp;
 constexpr std::size_t large_body_bytes = 700 * 1024;
 
-/// A server with room for one large body, that answers each request with the length of its body.
+/// A server whose body budget fits one large body. Responds to each request with the length of its body.
 class one_body_server
 {
 public:
@@ -63,7 +63,7 @@
              "\r\nExpect: 100-continue\r\n" + length_field + "\r\n\r\n");
     }
     void send(const std::string& text) { boost::asio::write(socket_, boost::asio::buffer(text)); }
-    /// The first line that the server says: "go on", or a final answer.
+    /// First line from the server: `100 Continue` or the status line of the final response.
     [[nodiscard]] auto first_line() -> std::string
     {
         const auto length = boost::asio::read_until(socket_, boost::asio::dynamic_buffer(received_), "\r\n");
@@ -94,7 +94,7 @@
 
 } // namespace
 
-Test(body_budget, what_is_claimed_is_given_back_at_the_end)
+Test(body_budget, claims_are_released_on_destruction)
 {
     const auto budget = std::make_shared<body_budget>(100);
     {
@@ -111,10 +111,10 @@
 
 FAULT_CELL_MORE(request_intake, two_faults, bodies_together)
 {
-    // All callers of a gateway lose their answers: the process is ended for its memory. Order: a caller sends
-    // a large body and is slow; others send large bodies at the same time, each within its limit. Cause: only
-    // the single body was bounded. Those without room are told so before they have sent a byte of it, and one
-    // that sends on all the same still sees its answer.
+    // Failure: the gateway is killed for its memory use and all clients lose their responses. A slow client
+    // sends a large body while others send large bodies at the same time, each within the limit of a single
+    // body; only single bodies were limited. Requests over the total budget are rejected before their body is
+    // sent, and a client that sends it anyway still receives the response.
     const one_body_server server;
     upload first(server, content_length_field(large_body_bytes), "keep-alive");
     cr_assert(first.first_line() == "HTTP/1.1 100 Continue");
@@ -125,13 +125,16 @@
     ignores_refusal.send(std::string(large_body_bytes, 'x'));
     cr_assert(ignores_refusal.read_to_end().find("503 Service Unavailable") != std::string::npos);
     upload chunked(server, "Transfer-Encoding: chunked");
-    cr_assert(chunked.first_line() == "HTTP/1.1 503 Service Unavailable", "it may be as large as any");
+    cr_assert(chunked.first_line() == "HTTP/1.1 503 Service Unavailable",
+              "a chunked body must claim the maximum body size");
     upload small(server, content_length_field(1));
     small.send("x");
-    cr_assert(small.read_to_end().find("200 OK") != std::string::npos, "there is room for a small one");
+    cr_assert(small.read_to_end().find("200 OK") != std::string::npos,
+              "the remaining budget must fit a small body");
     first.send(std::string(large_body_bytes, 'x'));
     first.read_until_text("\r\n\r\n" + std::to_string(large_body_bytes));
     upload after(server, content_length_field(large_body_bytes));
     after.send(std::string(large_body_bytes, 'x'));
-    cr_assert(after.read_to_end().find("200 OK") != std::string::npos, "the first one's room is free again");
+    cr_assert(after.read_to_end().find("200 OK") != std::string::npos,
+              "the first body must have been released from the budget");
 }
--- a/tests/http/sse_parser_test.cpp
+++ b/tests/http/sse_parser_test.cpp
@@ -4,7 +4,7 @@
 
 using dragonflymill::http::sse_parser;
 
-Test(sse_parser, events_cut_anywhere_come_out_whole)
+Test(sse_parser, reassembles_events_split_at_any_byte)
 {
     const std::string stream = ": comment\ndata: one\n\nevent: x\r\ndata: two\r\ndata: lines\r\n\r\n";
     for (std::size_t cut = 0; cut <= stream.size(); ++cut) {
@@ -18,7 +18,7 @@
     }
 }
 
-Test(sse_parser, an_event_without_end_is_refused_at_the_limit)
+Test(sse_parser, rejects_an_event_over_the_size_limit)
 {
     sse_parser parser(16);
     cr_assert(parser.feed("data: 0123456789abcdef").has_error());
