--- a/src/log/event_catalogue.cpp
+++ b/src/log/event_catalogue.cpp
@@ -42,7 +42,7 @@
 {
     const auto* const found = std::lower_bound(
         entries.begin(), entries.end(), id, [](const event_entry& e, event wanted) { return e.id < wanted; });
-    DRAGONFLYMILL_ASSERT(found != entries.end() && found->id == id, "every event is in the catalogue");
+    DRAGONFLYMILL_ASSERT(found != entries.end() && found->id == id, "every event must be in the catalogue");
     return *found;
 }
 
--- a/src/log/event_catalogue.h
+++ b/src/log/event_catalogue.h
@@ -5,19 +5,19 @@
 
 namespace dragonflymill {
 
-/// How much an event matters, least first.
+/// Severity of an event, in ascending order.
 enum class log_level
 {
-    debug,   ///< One for each request or message; for finding faults.
-    info,    ///< What an operator may want to read later.
-    warning, ///< Something is wrong that the system bears.
-    error,   ///< Something is wrong that needs a person.
+    debug,   ///< Logged per request or message; for debugging.
+    info,    ///< Normal operation, of interest to operators.
+    warning, ///< A fault that the system tolerates.
+    error,   ///< A fault that requires an operator.
 };
 
-/// Name of a level, as it stands in the log and the settings.
+/// Name of a level as used in the log and the settings.
 [[nodiscard]] auto to_string(log_level level) -> const char*;
 
-/// Every event that may be logged; the list itself is `log/events.inc`.
+/// All log events, defined in `log/events.inc`.
 enum class event : std::uint16_t
 {
 #define DRAGONFLYMILL_EVENT(number, name, level, text, remedy) name = (number),
@@ -25,23 +25,23 @@
 #undef DRAGONFLYMILL_EVENT
 };
 
-/// What the catalogue says about an event.
+/// Catalogue entry of a log event.
 struct event_entry
 {
-    event id;           ///< The event; its value is its number.
-    const char* name;   ///< Name as it stands in the log.
-    log_level level;    ///< Level it is logged at.
-    const char* text;   ///< What happened.
-    const char* remedy; ///< What to do; empty when nothing needs to be done.
+    event id;           ///< The event; the enumerator's value is the event number.
+    const char* name;   ///< Name as used in the log.
+    log_level level;    ///< Severity of the event.
+    const char* text;   ///< Description of the event.
+    const char* remedy; ///< Action for the operator; empty if none is required.
 
-    /// The event's number.
+    /// Event number as used in the log.
     [[nodiscard]] auto number() const -> int { return static_cast<int>(id); }
 };
 
-/// The whole catalogue, in order of number.
+/// All entries, in ascending order of their numbers.
 [[nodiscard]] auto event_catalogue() -> std::span<const event_entry>;
 
-/// The catalogue's entry of an event.
+/// Catalogue entry of `id`.
 [[nodiscard]] auto entry_of(event id) -> const event_entry&;
 
 } // namespace dragonflymill
--- a/src/log/log_field.h
+++ b/src/log/log_field.h
@@ -12,38 +12,38 @@
 
 namespace dragonflymill {
 
-/// A value that a log event carries.
+/// Value of a log field.
 using log_value = std::variant<std::string, std::int64_t, std::uint64_t, double, bool>;
 
-/// A named value of a log event; made by `field`.
+/// A named value of a log event; created by `field`.
 struct log_field
 {
-    const char* name; ///< Name; a literal, in snake_case, a duration's with its unit `_us`.
-    log_value value;  ///< Value.
+    const char* name; ///< String literal in snake_case; durations have the suffix `_us`.
+    log_value value;  ///< Value of the field.
 
     friend auto operator==(const log_field&, const log_field&) -> bool = default;
 };
 
-/// A field with text.
+/// A text field.
 [[nodiscard]] inline auto field(const char* name, std::string_view text) -> log_field
 {
     return {name, std::string(text)};
 }
 
-/// A field with text.
+/// A text field.
 [[nodiscard]] inline auto field(const char* name, const char* text) -> log_field
 {
     return {name, std::string(text)};
 }
 
-/// A field with a typed name.
+/// A field with the text of a string identifier.
 template <typename Tag>
 [[nodiscard]] auto field(const char* name, const name_id<Tag>& id) -> log_field
 {
     return {name, id.text()};
 }
 
-/// A field with a typed number.
+/// A field with the value of an integer identifier.
 template <typename Tag>
 [[nodiscard]] auto field(const char* name, number_id<Tag> id) -> log_field
 {
@@ -56,14 +56,14 @@
     return {name, std::int64_t{value.count()}};
 }
 
-/// A field with a truth value.
+/// A boolean field. The template prevents implicit conversions to bool, e.g. from pointers.
 template <std::same_as<bool> Bool>
 [[nodiscard]] auto field(const char* name, Bool value) -> log_field
 {
     return {name, value};
 }
 
-/// A field with a whole number.
+/// An integer field.
 template <std::integral Number>
 requires(!std::same_as<Number, bool>) [[nodiscard]] auto field(const char* name, Number value) -> log_field
 {
@@ -75,7 +75,7 @@
     }
 }
 
-/// A field with a real number.
+/// A floating-point field.
 template <std::floating_point Number>
 [[nodiscard]] auto field(const char* name, Number value) -> log_field
 {
--- a/src/log/log_line.cpp
+++ b/src/log/log_line.cpp
@@ -32,7 +32,8 @@
     return std::visit([](const auto& v) { return boost::json::value(v); }, value);
 }
 
-/// A word as it is, anything else quoted: a caller's text can't look like a field or a line of ours.
+/// Formats a value for the text format. Strings with other than plain characters are quoted and escaped,
+/// which prevents client input from forging fields or log lines.
 auto text_value(const log_value& value) -> std::string
 {
     const auto* const text = std::get_if<std::string>(&value);
--- a/src/log/log_line.h
+++ b/src/log/log_line.h
@@ -8,15 +8,15 @@
 
 namespace dragonflymill {
 
-/// One logged event, as it waits for the writing thread.
+/// A logged event, queued for the writer thread.
 struct log_record
 {
-    event id;                      ///< The event.
-    wall_instant at;               ///< When it was logged.
-    std::vector<log_field> fields; ///< Its values.
+    event id;                      ///< The event logged.
+    wall_instant at;               ///< Time of the log call.
+    std::vector<log_field> fields; ///< Fields of the event.
 };
 
-/// The line of a record, without a line feed.
+/// Formats a record as one line, without a line feed.
 [[nodiscard]] auto log_line(const log_record& record, const std::string& process, log_format format)
     -> std::string;
 
--- a/src/log/logger.cpp
+++ b/src/log/logger.cpp
@@ -26,18 +26,17 @@
 
 constexpr std::size_t queue_capacity = 8192;
 constexpr int logging_off = 1000;
-/// What is queued at the end is written within this, or given up: the queue takes a few milliseconds to
-/// write.
+/// Maximum time to write queued events when the logger is destroyed; a full queue takes a few milliseconds.
 constexpr auto close_timeout = std::chrono::milliseconds(500);
 constexpr const char* record_attribute = "Record";
 
-// The process's one logger; Boost.Log's core is global as well, so there can't be two.
+// State of the single logger of the process. Boost.Log's core is global, so there can't be two.
 std::atomic<int> enabled_level{logging_off};
 std::atomic<std::uint64_t> drop_count{0};
-std::atomic<std::uint64_t> reported_drop_count{0}; // dropped events that the log itself speaks of
+std::atomic<std::uint64_t> reported_drop_count{0}; // dropped events already reported in the log
 
-/// Drops an event when the queue is full. A request must not wait for a slow disk or terminal: it would miss
-/// its time limit because of its own log.
+/// Drops events while the queue is full, since a request that waits for a slow disk or terminal could miss
+/// its deadline.
 class drop_on_overflow
 {
 public:
@@ -61,8 +60,8 @@
     return wall_instant(std::chrono::duration_cast<duration>(since_epoch));
 }
 
-/// Standard output without the lock of `std::cout`: the writer may be stuck in a pipe that nobody reads, and
-/// the end of the process flushes `std::cout`.
+/// Standard output without the lock of `std::cout`. The writer may block on a full pipe without a reader, and
+/// process exit flushes `std::cout`, which would then block as well.
 class standard_output : public std::ostream
 {
 public:
@@ -88,7 +87,7 @@
     auto stream = boost::make_shared<std::ofstream>(file, std::ios::app);
     if (!*stream) {
         return error(error_kind::unavailable, "the log file '" + file + "' can't be opened",
-                     "check that its folder exists and may be written to");
+                     "check that its directory exists and is writable");
     }
     return boost::shared_ptr<std::ostream>(std::move(stream));
 }
@@ -103,7 +102,7 @@
 auto logger::start(const log_settings& settings) -> result<logger>
 {
     if (enabled_level.load() != logging_off) {
-        return error(error_kind::conflict, "logging is already started", "start one logger a process");
+        return error(error_kind::conflict, "logging is already started", "start only one logger per process");
     }
     auto stream = open_stream(settings.file);
     if (!stream) {
@@ -138,7 +137,7 @@
 
 auto logger::operator=(logger&& other) noexcept -> logger&
 {
-    DRAGONFLYMILL_ASSERT(state_ == nullptr || state_ == other.state_, "at most one logger is alive");
+    DRAGONFLYMILL_ASSERT(state_ == nullptr || state_ == other.state_, "at most one logger may exist");
     state_ = std::move(other.state_);
     return *this;
 }
@@ -149,8 +148,8 @@
         return;
     }
     enabled_level.store(logging_off);
-    // On a thread of its own: the writer may be stuck in a pipe that nobody reads, and a process that is to
-    // stop would then never end. What is not written by the limit is given up.
+    // Closed on a separate thread: the writer may block on a full pipe without a reader, which would prevent
+    // the process from exiting. Events not written before the timeout are lost.
     auto closed = std::make_shared<std::promise<void>>();
     auto done = closed->get_future();
     std::thread([closed, sink = state_->sink] {
--- a/src/log/logger.h
+++ b/src/log/logger.h
@@ -11,45 +11,45 @@
 
 namespace dragonflymill {
 
-/// How log lines are written.
+/// Format of log lines.
 enum class log_format
 {
-    text, ///< For people.
-    json, ///< A JSON object a line, for tools.
+    text, ///< Human-readable.
+    json, ///< One JSON object per line, for tools.
 };
 
-/// As a log file: standard output.
+/// Value of `log_settings::file` that selects standard output.
 inline constexpr const char* standard_output_file = "-";
 
-/// Where and how to log.
+/// Settings of the logger.
 struct log_settings
 {
-    std::string process;                  ///< Name of the process, in every line.
-    log_level level = log_level::info;    ///< Events below it are not logged.
+    std::string process;                  ///< Process name, included in every line.
+    log_level level = log_level::info;    ///< Minimum level; events below it are not logged.
     log_format format = log_format::text; ///< Format of the lines.
     std::string file; ///< File to append to; empty for standard error, `-` for standard output.
 
     friend auto operator==(const log_settings&, const log_settings&) -> bool = default;
 };
 
-/// Logging of a process, from its start to its end. While none is alive, `log_event` does nothing. At most
-/// one is alive at a time.
+/// The logger of a process; at most one may exist at a time. Without one, `log_event` does nothing.
 class logger
 {
 public:
-    /// Opens the file and starts the writing thread.
+    /// Opens the output and starts the writer thread. Fails with `conflict` if a logger exists and with
+    /// `unavailable` if the file can't be opened.
     [[nodiscard]] static auto start(const log_settings& settings) -> result<logger>;
 
-    /// Writes what is queued and stops.
+    /// Writes queued events and stops. Waits at most 500 ms; events not written by then are lost.
     ~logger();
     logger(logger&& other) noexcept;
     auto operator=(logger&& other) noexcept -> logger&;
     logger(const logger&) = delete;
     auto operator=(const logger&) -> logger& = delete;
 
-    /// Waits until everything logged so far is written.
+    /// Blocks until all events logged so far are written.
     void flush();
-    /// Events dropped so far because the queue was full.
+    /// Number of events dropped because the queue was full.
     [[nodiscard]] auto dropped() const -> std::uint64_t;
 
 private:
@@ -59,18 +59,18 @@
     std::unique_ptr<state> state_;
 };
 
-/// Whether events of `level` are logged now.
+/// Whether events of `level` are currently logged.
 [[nodiscard]] auto log_enabled(log_level level) -> bool;
 
 namespace detail {
 
-/// Queues an event for the writing thread; never waits.
+/// Queues an event for the writer thread without blocking.
 void queue_event(event id, std::vector<log_field> fields);
 
 } // namespace detail
 
-/// Logs an event with its fields: `log_event(event::request_refused, field("request", id))`. Callable from
-/// every thread; never waits for the writer: when its queue is full, the event is dropped and counted.
+/// Logs an event with its fields: `log_event(event::request_refused, field("request", id))`. Thread-safe and
+/// non-blocking: if the queue is full, the event is dropped and counted.
 template <typename... Fields>
 void log_event(event id, Fields&&... fields)
 {
--- a/src/log/pause_log.h
+++ b/src/log/pause_log.h
@@ -4,14 +4,15 @@
 
 namespace dragonflymill {
 
-/// Logs that a thread which ticks often was kept from running, as by a suspended host.
+/// Detects and logs that a thread was not scheduled for a long time, e.g. because the host was suspended.
 class pause_log
 {
 public:
-    /// The thread ticks; logs if the last tick is longer ago than `longest_gap`.
+    /// Called periodically by the thread; logs `process_paused` if the last call is longer ago than
+    /// `longest_gap`.
     void tick(instant now);
 
-    /// A tick that comes later than this was kept from running.
+    /// Maximum time between two ticks that is not regarded as a pause.
     static constexpr duration longest_gap = 1s;
 
 private:
--- a/src/metrics/metric_histogram.cpp
+++ b/src/metrics/metric_histogram.cpp
@@ -16,7 +16,7 @@
 namespace bh = boost::histogram;
 
 using log_axis = bh::axis::regular<double, bh::axis::transform::log>;
-// Cells that several threads may raise at the same time.
+// Atomic counters, which several threads may increment concurrently.
 using atomic_cells = bh::dense_storage<bh::accumulators::count<std::uint64_t, true>>;
 using atomic_histogram = bh::histogram<std::tuple<log_axis>, atomic_cells>;
 
@@ -66,7 +66,7 @@
     const log_axis& axis = state_->cells.axis();
     std::vector<cumulative_bucket> all;
     all.reserve(static_cast<std::size_t>(axis.size()) + 2);
-    // Cell -1 holds what lies below the axis; the cell after the last what lies above.
+    // Cell -1 is the underflow bucket, cell `axis.size()` the overflow bucket.
     std::uint64_t total = state_->cell(-1);
     all.push_back({axis.value(0), total});
     for (int i = 0; i < axis.size(); ++i) {
--- a/src/metrics/metrics_registry.cpp
+++ b/src/metrics/metrics_registry.cpp
@@ -25,7 +25,7 @@
     return {text.data(), end.ptr};
 }
 
-/// All series of one name and kind, by their labels.
+/// All series with the same name and type, by their labels.
 template <typename Metric>
 struct family
 {
@@ -79,7 +79,7 @@
     {
     }
 
-    /// The series with these labels, made if there is room; otherwise `spare`.
+    /// Returns the series with these labels and creates it if needed; `overflow` if the registry is full.
     template <typename Metric, typename... Arguments>
     auto find(families<Metric>& all, const metric_name& name, const metric_labels& labels, Metric& overflow,
               const Arguments&... arguments) -> Metric&
--- a/tests/log/event_catalogue_test.cpp
+++ b/tests/log/event_catalogue_test.cpp
@@ -21,17 +21,17 @@
 
 } // namespace
 
-Test(event_catalogue, numbers_rise_and_stay_in_their_ranges)
+Test(event_catalogue, numbers_increase_and_stay_in_range)
 {
     int last = 0;
     for (const event_entry& entry : event_catalogue()) {
-        cr_assert(entry.number() > last, "%s: numbers rise", entry.name);
-        cr_assert(entry.number() >= 1000 && entry.number() < 5000, "%s: range", entry.name);
+        cr_assert(entry.number() > last, "%s: numbers must increase", entry.name);
+        cr_assert(entry.number() >= 1000 && entry.number() < 5000, "%s: number out of range", entry.name);
         last = entry.number();
     }
 }
 
-Test(event_catalogue, problems_name_a_remedy)
+Test(event_catalogue, errors_have_a_remedy)
 {
     for (const event_entry& entry : event_catalogue()) {
         const bool has_remedy = entry.remedy[0] != '\0';
@@ -39,8 +39,8 @@
     }
 }
 
-// An operator waits for an event of the catalogue that never comes: nothing logs it.
-Test(event_catalogue, each_event_is_logged_somewhere)
+// Guards against catalogue entries that no code logs, which operators would alert on in vain.
+Test(event_catalogue, every_event_is_used_in_the_source)
 {
     const std::regex use("event::([a-z_0-9]+)");
     std::set<std::string> used;
@@ -60,10 +60,10 @@
     }
 }
 
-Test(event_catalogue, docs_hold_the_same_rows)
+Test(event_catalogue, docs_list_the_same_events)
 {
     std::ifstream docs(DRAGONFLYMILL_SOURCE_DIR "/docs/events.md");
-    cr_assert(docs.good(), "docs/events.md is there");
+    cr_assert(docs.good(), "docs/events.md must be readable");
     std::string line;
     std::size_t next = 0;
     const auto entries = event_catalogue();
--- a/tests/log/logger_test.cpp
+++ b/tests/log/logger_test.cpp
@@ -42,7 +42,7 @@
 
 } // namespace
 
-Test(log_line, text_has_number_name_fields_and_remedy)
+Test(log_line, text_contains_number_name_fields_and_remedy)
 {
     const log_record record{
         event::request_refused,
@@ -55,7 +55,7 @@
               line.c_str());
 }
 
-Test(log_line, hostile_text_stays_within_its_field)
+Test(log_line, quotes_untrusted_text)
 {
     const log_record record{event::caller_malformed, {}, {field("target", "/a\n2026 error 9999 x=1")}};
     const std::string line = log_line(record, "gw-1", log_format::text);
@@ -63,7 +63,7 @@
     cr_assert(line.find("target=\"/a\\n2026 error 9999 x=1\"") != std::string::npos, "%s", line.c_str());
 }
 
-Test(log_line, json_keeps_types)
+Test(log_line, json_preserves_value_types)
 {
     const log_record record{
         event::request_refused, {}, {field("count", 3), field("hot", true), field("share", 0.5)}};
@@ -96,15 +96,15 @@
         }
         cr_assert(started.value().dropped() == 0);
     }
-    cr_assert(read_lines(file).size() == 400, "debug events are below the level");
+    cr_assert(read_lines(file).size() == 400, "debug events must not be logged at level info");
     log_event(event::call_replayed);
-    cr_assert(read_lines(file).size() == 400, "nothing is logged without a logger");
+    cr_assert(read_lines(file).size() == 400, "nothing may be logged without a logger");
     std::filesystem::remove(file);
 }
 
-Test(logger, a_full_queue_drops_and_counts)
+Test(logger, full_queue_drops_and_counts_events)
 {
-    // A pipe that nobody reads stands for a log file system that hangs.
+    // A pipe without a reader simulates a log file system that hangs.
     const std::string pipe = temporary_file();
     std::filesystem::remove(pipe);
     cr_assert(mkfifo(pipe.c_str(), 0600) == 0);
@@ -115,7 +115,7 @@
     for (int i = 0; i < sent; ++i) {
         log_event(event::call_replayed, field("lease", i));
     }
-    cr_assert(started.value().dropped() > 0, "the writer hangs, the callers don't");
+    cr_assert(started.value().dropped() > 0, "a blocked writer must not block log_event");
     std::filesystem::remove(pipe);
     std::atomic<bool> written{false};
     std::thread drain([&written, reader] {
@@ -132,7 +132,7 @@
     close(reader);
 }
 
-Test(logger, one_at_a_time_and_unusable_files_are_named)
+Test(logger, rejects_a_second_logger_and_names_an_unusable_file)
 {
     const auto bad = logger::start({"p", log_level::info, log_format::text, "/nonexistent/x.log"});
     cr_assert(bad.has_error());
@@ -145,9 +145,9 @@
     std::filesystem::remove(file);
 }
 
-// Operators stop a process whose standard output is a pipe that nobody reads any more. It never ended: the
-// log's writer was stuck in the pipe, and the end of the process waited for it.
-Test(logger, a_pipe_that_nobody_reads_does_not_hold_up_the_end, .timeout = 60)
+// Failure: a process whose standard output is a full pipe without a reader never exits. The log writer blocks
+// on the pipe, and process exit waited for the writer.
+Test(logger, blocked_output_pipe_does_not_prevent_exit, .timeout = 60)
 {
     std::signal(SIGPIPE, SIG_IGN);
     std::array<int, 2> pipe_ends{};
@@ -165,8 +165,8 @@
             log_event(event::gateway_started, field("gateway", "g"));
         }
     }
-    // As the program ends: the writer may still be stuck, and must not meet static objects that are
-    // destroyed.
+    // Exits like the daemons: the writer thread may still be blocked and must not access destroyed static
+    // objects.
     std::quick_exit(EXIT_SUCCESS);
 }
 
--- a/tests/metrics/metrics_registry_test.cpp
+++ b/tests/metrics/metrics_registry_test.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-Test(metrics_registry, text_has_every_series_once)
+Test(metrics_registry, exports_every_series_once)
 {
     metrics_registry registry;
     registry.counter(requests, {{"outcome", "answered"}}).add(3);
@@ -51,7 +51,7 @@
     cr_assert(std::abs(histogram.sum() - 506.051) < 1e-9);
 }
 
-Test(metrics_registry, quantiles_lie_within_their_bucket)
+Test(metrics_registry, quantiles_are_accurate_to_one_bucket)
 {
     metric_histogram histogram(second_buckets);
     cr_assert(histogram.quantile(0.5) == 0);
@@ -66,7 +66,7 @@
     }
 }
 
-Test(metrics_registry, threads_lose_no_values)
+Test(metrics_registry, concurrent_updates_are_not_lost)
 {
     metrics_registry registry;
     constexpr unsigned each = 20'000;
@@ -88,7 +88,7 @@
     cr_assert(registry.histogram(first_token, second_buckets).sum() == static_cast<double>(both) * 0.25);
 }
 
-Test(metrics_registry, labels_cannot_fill_the_memory)
+Test(metrics_registry, number_of_series_is_bounded)
 {
     metrics_registry registry(10);
     for (int i = 0; i < 1000; ++i) {
