--- a/src/timeline/clock_offsets.cpp
+++ b/src/timeline/clock_offsets.cpp
@@ -11,21 +11,22 @@
 namespace {
 
 constexpr duration unknown_uncertainty = duration::max();
-/// A link with messages one way only is used where no chain of round trips leads.
+/// Uncertainty assigned to links with messages in one direction only: so large that they are used only if no
+/// path of round trips exists.
 constexpr duration one_way_uncertainty = std::chrono::hours(1);
 
-/// Fastest apparent way of a message from one process to another: real way plus difference of the clocks.
+/// Minimum apparent message delay per pair (sender, receiver): real delay plus clock difference.
 using minimum_delays = std::map<std::pair<std::size_t, std::size_t>, duration>;
 
-/// What links the clocks of two processes.
+/// Relation between the clocks of two processes.
 struct clock_link
 {
-    duration offset;      ///< Offset of the second, if the first has none.
-    duration uncertainty; ///< How far off it can be.
-    bool one_way;         ///< Whether there are messages in one direction only.
+    duration offset;      ///< Offset of the second clock relative to the first.
+    duration uncertainty; ///< Maximum error of `offset`.
+    bool one_way;         ///< Whether messages exist in one direction only.
 };
 
-/// Both ends of a message by its name.
+/// Send and receive events of one message.
 struct message_ends
 {
     const timeline_event* sent = nullptr;
@@ -36,12 +37,12 @@
 auto record_end(message_ends& ends, const timeline_event& event)
 {
     const timeline_event*& slot = event.end == message_end::send ? ends.sent : ends.received;
-    // Which copy of a repeated message arrived can't be told, so its times say nothing.
+    // Which copy of a repeated message was received is unknown, so its timestamps are unusable.
     ends.repeated = ends.repeated || slot != nullptr;
     slot = &event;
 }
 
-/// Offsets of one set of events, found step by step.
+/// Computes the clock offsets for one set of events.
 class offset_estimate
 {
 public:
@@ -106,7 +107,8 @@
         if (forward != minimum_delays_.end() && backward != minimum_delays_.end()) {
             const duration offset = (backward->second - forward->second) / 2;
             const duration uncertainty = (forward->second + backward->second) / 2;
-            // Below zero would say that a message arrived before it was sent: the clocks drift.
+            // A negative value would mean that a message arrived before it was sent, which clock drift can
+            // cause.
             return clock_link{offset, std::max(uncertainty, duration(1)), false};
         }
         if (forward != minimum_delays_.end()) {
@@ -128,7 +130,8 @@
         return static_cast<std::size_t>(std::max_element(links.begin(), links.end()) - links.begin());
     }
 
-    /// Sets the offsets of all that are linked to the reference, along the most certain chains first.
+    /// Sets the offsets of all processes linked to the reference, with shortest paths by uncertainty
+    /// (Dijkstra).
     void propagate_offsets()
     {
         std::vector<bool> visited(processes_.size());
@@ -175,7 +178,7 @@
         }
     }
 
-    /// Civil time minus monotonic time of a process, at its first event.
+    /// Difference of civil and monotonic time of a process at its first event.
     [[nodiscard]] auto wall_clock_difference(std::size_t process) const -> duration
     {
         const auto first = std::find_if(events_.begin(), events_.end(), [&](const timeline_event& event) {
--- a/src/timeline/clock_offsets.h
+++ b/src/timeline/clock_offsets.h
@@ -10,35 +10,35 @@
 
 namespace dragonflymill {
 
-/// How a clock offset was found.
+/// How a clock offset was determined.
 enum class offset_source
 {
-    reference,  ///< The process is the one that all others are set against.
-    round_trip, ///< From messages both ways; wrong by at most the stated uncertainty.
-    one_way,    ///< From messages one way only; wrong by the fastest message's way.
-    wall_clock, ///< No message links it to the others; as wrong as the hosts' civil clocks.
+    reference,  ///< The process whose clock is the common time.
+    round_trip, ///< From messages in both directions; the error is at most `uncertainty`.
+    one_way,    ///< From messages in one direction; the error is the delay of the fastest one.
+    wall_clock, ///< From the hosts' civil clocks, since no messages link the process to others.
 };
 
-/// Name of an offset's source, for people.
+/// Human-readable description of an offset's source.
 [[nodiscard]] auto to_string(offset_source source) -> const char*;
 
-/// What to add to a process's monotonic clock to get the common time.
+/// Offset from a process's monotonic clock to the common time.
 struct clock_offset
 {
-    process_id process;                              ///< The process.
-    duration offset{0};                              ///< What to add.
-    duration uncertainty{0};                         ///< How far off it can be, where `source` says so.
-    offset_source source = offset_source::reference; ///< How it was found.
+    process_id process;                              ///< Process that the offset applies to.
+    duration offset{0};                              ///< Duration to add to the process's clock.
+    duration uncertainty{0};                         ///< Maximum error; zero if `source` gives no bound.
+    offset_source source = offset_source::reference; ///< How the offset was determined.
 
     friend auto operator==(const clock_offset&, const clock_offset&) -> bool = default;
 };
 
-/// Offsets of the clocks of all processes in `events`, in order of process names.
+/// Estimates the clock offsets of all processes in `events`, sorted by process name.
 ///
-/// Between two processes the fastest message each way bounds the difference of their clocks: half the
-/// difference of the two ways is the estimate, half their sum the most it can be wrong, whatever the ways'
-/// asymmetry. Processes without direct messages are linked through others along the most certain links. A
-/// drift of the clocks within the time line is not corrected.
+/// For two processes, the minimum apparent delay in each direction bounds the difference of their clocks:
+/// half the difference of the two delays is the estimate, half their sum the maximum error, for any asymmetry
+/// of the real delays. Processes without direct messages are linked through others along the path with the
+/// lowest total uncertainty. Clock drift within the timeline is not corrected.
 [[nodiscard]] auto estimate_clock_offsets(std::span<const timeline_event> events)
     -> std::vector<clock_offset>;
 
--- a/src/timeline/timeline_event.cpp
+++ b/src/timeline/timeline_event.cpp
@@ -9,8 +9,9 @@
 
 auto invalid_line(std::string why) -> error
 {
-    return {error_kind::corrupt, "the line is not a time line event: " + std::move(why),
-            "give the files that [timeline] file names; the last line of a process that died may be cut off"};
+    return {error_kind::corrupt, "the line is not a timeline event: " + std::move(why),
+            "pass the files that [timeline] file names; the last line of a process that crashed may be "
+            "truncated"};
 }
 
 auto string_field(const boost::json::object& line, std::string_view key) -> std::string
--- a/src/timeline/timeline_event.h
+++ b/src/timeline/timeline_event.h
@@ -9,45 +9,45 @@
 
 namespace dragonflymill {
 
-/// Which end of a message an event tells of.
+/// Which end of a message an event describes.
 enum class message_end
 {
-    none,    ///< The event is not about a message.
-    send,    ///< The process sent it.
-    receive, ///< The process received it.
+    none,    ///< The event describes no message.
+    send,    ///< The process sent the message.
+    receive, ///< The process received the message.
 };
 
-/// One step of one process, as its time line has it.
+/// One step of one process, as recorded in its timeline.
 struct timeline_event
 {
-    process_id process;                  ///< The process.
-    instant at;                          ///< When, on its monotonic clock.
-    wall_instant wall;                   ///< When, on its civil clock.
-    request_id request;                  ///< The request it belongs to; empty if it belongs to none.
-    std::string step;                    ///< What happened, in snake_case.
-    std::string detail;                  ///< More about it, for people.
-    std::string message;                 ///< Name of the message sent or received; the same at both ends.
-    message_end end = message_end::none; ///< Which end of the message.
+    process_id process;                  ///< Process that recorded the event.
+    instant at;                          ///< Time on the monotonic clock of the process.
+    wall_instant wall;                   ///< Time on the civil clock of the process.
+    request_id request;                  ///< Related request; empty if there is none.
+    std::string step;                    ///< Name of the step, in snake_case.
+    std::string detail;                  ///< Additional human-readable information.
+    std::string message;                 ///< Name of the message; identical at both ends.
+    message_end end = message_end::none; ///< End of the message that the event describes.
 
     friend auto operator==(const timeline_event&, const timeline_event&) -> bool = default;
 };
 
-/// Message of a try: the gateway opens it.
+/// Message of an attempt: the gateway opens it.
 inline constexpr std::string_view open_message = "open";
-/// Message of a try: the sidecar lets the prompt come.
+/// Message of an attempt: the sidecar grants it, and the gateway may send the prompt.
 inline constexpr std::string_view grant_message = "grant";
-/// Message of a try: the sidecar ends it, with a refusal or after the whole answer.
+/// Message of an attempt: the sidecar ends it with a refusal or after the complete response.
 inline constexpr std::string_view end_message = "end";
 
-/// Name of a message that belongs to a try at a request, unique over all processes: `what` tells apart the
-/// messages of one try.
+/// Name of a message of an attempt, unique across all processes. `what` distinguishes the messages of one
+/// attempt.
 [[nodiscard]] auto attempt_message(const request_id& request, attempt_number attempt, std::string_view what)
     -> std::string;
 
-/// The line of an event in a time line file, without a line feed.
+/// Formats an event as one line of a timeline file, without a line feed.
 [[nodiscard]] auto to_json_line(const timeline_event& event) -> std::string;
 
-/// Reads a line that `to_json_line` wrote.
+/// Parses a line written by `to_json_line`. Fails with `corrupt` if it is not a timeline event.
 [[nodiscard]] auto parse_timeline_line(std::string_view line) -> result<timeline_event>;
 
 } // namespace dragonflymill
--- a/src/timeline/timeline_file.cpp
+++ b/src/timeline/timeline_file.cpp
@@ -26,8 +26,8 @@
     for (const std::string& file : files) {
         std::ifstream in(file);
         if (!in) {
-            return error(error_kind::not_found, "the time line file '" + file + "' can't be opened",
-                         "check its path; [timeline] file in the settings names it");
+            return error(error_kind::not_found, "the timeline file '" + file + "' can't be opened",
+                         "check its path; it is set by [timeline] file in the settings");
         }
         read_timeline(in, reading);
     }
--- a/src/timeline/timeline_merge.cpp
+++ b/src/timeline/timeline_merge.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Rows of each process: when the last span on it ends.
+/// For each row of each process, the end of the last span on it.
 using row_ends = std::vector<std::vector<duration>>;
 
 auto align_events(std::vector<timeline_event> events, const merged_timeline& merged)
@@ -64,7 +64,7 @@
     }
 }
 
-/// Places of both ends of a message.
+/// Positions of both ends of a message.
 struct message_endpoints
 {
     std::optional<span_place> from;
--- a/src/timeline/timeline_picture.cpp
+++ b/src/timeline/timeline_picture.cpp
@@ -36,7 +36,7 @@
     return decimal_text(static_cast<double>(value.count()) / microseconds_per_millisecond) + " ms";
 }
 
-/// Text that can't close an element or begin one: request ids and details come from callers.
+/// Escapes text for HTML, since request ids and details are client input.
 auto escaped(const std::string& text) -> std::string
 {
     std::string out;
@@ -61,7 +61,7 @@
     return out;
 }
 
-/// Draws one merged time line.
+/// Writes a merged timeline as SVG.
 class svg_writer
 {
 public:
--- a/src/timeline/timeline_picture.h
+++ b/src/timeline/timeline_picture.h
@@ -6,9 +6,9 @@
 
 namespace dragonflymill {
 
-/// Writes a time line as one HTML page with a drawing, which needs nothing else to be looked at: a band for
-/// each process, a bar for each request, a tick for each step, a line for each message. What does not fit a
-/// page of bounded size is left out, and the page says how much.
+/// Writes a timeline as a self-contained HTML page with an SVG drawing: a band per process, a bar per
+/// request, a tick per step and a line per message. The page size is bounded; the page states how many steps
+/// and messages are omitted.
 void write_timeline_picture(const merged_timeline& merged, std::ostream& out);
 
 } // namespace dragonflymill
--- a/src/timeline/timeline_recorder.cpp
+++ b/src/timeline/timeline_recorder.cpp
@@ -52,7 +52,7 @@
     {
         const bool pushed = ring.try_push({process, monotonic_now(), wall_now(), request, std::string(step),
                                            std::string(detail), std::string(message), end});
-        static_cast<void>(pushed); // the ring counts what it refuses
+        static_cast<void>(pushed); // the ring counts rejected events
     }
 
     void run()
@@ -87,7 +87,7 @@
     std::ofstream out;
     bounded_ring<timeline_event> ring;
     std::uint64_t reported_drops = 0;
-    std::thread writer; // last: it uses all of the above
+    std::thread writer; // declared last, since the thread uses the members above
 };
 
 timeline_recorder::timeline_recorder() = default;
@@ -109,8 +109,8 @@
     }
     std::ofstream out(file, std::ios::trunc);
     if (!out) {
-        return error(error_kind::unavailable, "the time line file '" + file + "' can't be opened",
-                     "check that its folder exists and may be written to");
+        return error(error_kind::unavailable, "the timeline file '" + file + "' can't be opened",
+                     "check that its directory exists and is writable");
     }
     return timeline_recorder(std::make_unique<state>(std::move(process), std::move(out), ring));
 }
--- a/src/timeline/trace_events.cpp
+++ b/src/timeline/trace_events.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// Viewers show a slice without length as nothing.
+/// Minimum length of a slice; trace viewers don't display slices of length zero.
 constexpr duration min_slice_duration{1};
 
-/// Writes the elements of the JSON array, one a line.
+/// Writes the elements of a JSON array, one per line.
 class trace_writer
 {
 public:
--- a/src/timeline/trace_events.h
+++ b/src/timeline/trace_events.h
@@ -6,8 +6,8 @@
 
 namespace dragonflymill {
 
-/// Writes a time line as trace-event JSON, which trace viewers open: a process for each of ours, a thread for
-/// each row, a slice for each request with its steps inside, and an arrow for each message.
+/// Writes a timeline in the Trace Event JSON format for trace viewers: a process per dragonflymill process, a
+/// thread per row, a slice per request with nested slices for its steps, and a flow arrow per message.
 void write_trace_events(const merged_timeline& merged, std::ostream& out);
 
 } // namespace dragonflymill
--- a/tests/timeline/attempt_timeline_test.cpp
+++ b/tests/timeline/attempt_timeline_test.cpp
@@ -6,7 +6,7 @@
 #include <filesystem>
 #include <unistd.h>
 
-// Last: Criterion's macro Test would change the meaning of a name in other headers.
+// Included last: Criterion's macro `Test` conflicts with a name in other headers.
 #include <criterion/criterion.h>
 
 namespace dragonflymill::sidecar {
@@ -21,7 +21,7 @@
     return spec;
 }
 
-/// What the time line holds after `work` was done with it.
+/// Runs `work` with an attempt timeline and returns the recorded events.
 template <typename Work>
 auto record_events(Work work) -> std::vector<timeline_event>
 {
@@ -41,7 +41,7 @@
 
 } // namespace
 
-Test(attempt_timeline, both_ends_give_a_message_the_same_name)
+Test(attempt_timeline, message_names_match_at_both_ends)
 {
     const auto events = record_events([](attempt_timeline& timeline) {
         timeline.note(sidecar_event(sidecar_input::attempt_opened{call_number(1), attempt("r", 2)}));
@@ -49,7 +49,7 @@
         timeline.note(sidecar_action(sidecar_output::finish_attempt{call_number(1), 10, "stop"}));
         timeline.note(sidecar_action(sidecar_output::finish_attempt{call_number(1), 10, "stop"}));
     });
-    cr_assert(events.size() == 3, "the end is noted once");
+    cr_assert(events.size() == 3, "the end must be recorded once");
     cr_assert(events[0].end == message_end::receive);
     cr_assert(events[0].message == attempt_message(request_id("r"), attempt_number(2), open_message));
     cr_assert(events[1].end == message_end::send);
@@ -57,7 +57,7 @@
     cr_assert(events[2].message == attempt_message(request_id("r"), attempt_number(2), end_message));
 }
 
-Test(attempt_timeline, a_cancelled_call_is_forgotten)
+Test(attempt_timeline, records_nothing_after_a_call_is_cancelled)
 {
     const auto events = record_events([](attempt_timeline& timeline) {
         timeline.note(sidecar_event(sidecar_input::attempt_opened{call_number(1), attempt("r", 1)}));
--- a/tests/timeline/clock_offsets_test.cpp
+++ b/tests/timeline/clock_offsets_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Makes events of processes whose clocks differ by known amounts.
+/// Builds events of processes with known clock offsets.
 class event_builder
 {
 public:
@@ -18,7 +18,7 @@
     {
     }
 
-    /// A message that leaves `from` at the true time `at` and takes `way`.
+    /// Adds a message that `from` sends at the true time `at` and that arrives after `delay`.
     void message(std::size_t from, std::size_t to, duration at, duration delay)
     {
         const std::string name = "m" + std::to_string(++last_message_);
@@ -40,7 +40,7 @@
     int last_message_ = 0;
 };
 
-/// What is added to a clock has to undo its difference from the reference's clock.
+/// Absolute error of an estimated offset; the exact offset is the reference clock minus the process's clock.
 auto offset_error(const std::vector<clock_offset>& offsets, std::size_t process, duration clock,
                   duration reference_clock) -> duration
 {
@@ -58,7 +58,7 @@
 
 } // namespace
 
-Test(clock_offsets, messages_both_ways_bound_the_error)
+Test(clock_offsets, round_trips_bound_the_error)
 {
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
         random_source random(seed);
@@ -67,7 +67,7 @@
                                            duration(random.below(1'000'000'000))};
         event_builder processes(clocks);
         for (int i = 0; i < 60; ++i) {
-            // Only neighbours talk: p0 with p1, p1 with p2. Ways are as asymmetric as they come.
+            // Only p0 and p1, and p1 and p2, exchange messages. Delays are random and thus asymmetric.
             const std::size_t from = random.below(2);
             const bool back = random.chance(0.5);
             processes.message(from + (back ? 1 : 0), from + (back ? 0 : 1), duration(i * 1000),
@@ -77,7 +77,8 @@
         const std::size_t reference = reference_index(offsets);
         for (std::size_t p = 0; p < 3; ++p) {
             const duration error = offset_error(offsets, p, clocks[p], clocks[reference]);
-            cr_assert(error <= offsets[p].uncertainty + duration(2), "seed %d: off by %d us, said %d us",
+            cr_assert(error <= offsets[p].uncertainty + duration(2),
+                      "seed %d: error of %d us exceeds the stated uncertainty of %d us",
                       static_cast<int>(seed), static_cast<int>(error.count()),
                       static_cast<int>(offsets[p].uncertainty.count()));
             cr_assert(offsets[p].uncertainty < 5ms);
@@ -85,10 +86,10 @@
     }
 }
 
-Test(clock_offsets, a_repeated_message_does_not_count)
+Test(clock_offsets, ignores_repeated_messages)
 {
-    // A duplicated message arrives long after its first copy was sent; taken as a pair it would shift the
-    // clock.
+    // Failure: a duplicate arrives long after the first copy was sent; pairing the two events would shift the
+    // estimated offset.
     event_builder processes({0ms, 500ms});
     processes.message(0, 1, 1ms, 1ms);
     processes.message(1, 0, 5ms, 1ms);
@@ -100,7 +101,7 @@
     cr_assert(offsets[1].uncertainty + offsets[0].uncertainty == 1ms);
 }
 
-Test(clock_offsets, without_answers_the_source_says_so)
+Test(clock_offsets, reports_the_source_without_round_trips)
 {
     event_builder processes({0ms, 500ms, 90ms});
     processes.message(0, 1, 1ms, 2ms);
@@ -108,7 +109,7 @@
     const auto offsets = estimate_clock_offsets(processes.events());
     cr_assert(offsets[0].source == offset_source::reference);
     cr_assert(offsets[1].source == offset_source::one_way);
-    cr_assert(offsets[1].offset == -502ms, "the way itself can't be told from the clocks");
+    cr_assert(offsets[1].offset == -502ms, "the delay can't be separated from the clock offset");
     cr_assert(offsets[2].source == offset_source::wall_clock);
     cr_assert(offsets[2].offset == -90ms);
     cr_assert(estimate_clock_offsets({}).empty());
--- a/tests/timeline/timeline_merge_test.cpp
+++ b/tests/timeline/timeline_merge_test.cpp
@@ -24,7 +24,7 @@
     return event;
 }
 
-/// A gateway and a sidecar whose clock is 5 s ahead; two requests at the same time.
+/// Events of a gateway and of a sidecar whose clock is 5 s ahead, with two concurrent requests.
 auto two_process_events() -> std::vector<timeline_event>
 {
     return {
@@ -48,7 +48,7 @@
 
 } // namespace
 
-Test(timeline_merge, steps_of_two_hosts_fall_in_their_true_order)
+Test(timeline_merge, orders_steps_of_two_hosts_by_true_time)
 {
     const auto merged = merge_timelines(two_process_events());
     cr_assert(merged.clocks.size() == 2);
@@ -60,10 +60,10 @@
         cr_assert(received - sent == 1ms);
     }
     cr_assert(merged.process_events.size() == 1);
-    cr_assert(merged.process_events[0].at == 0ms, "the sidecar started before all else");
+    cr_assert(merged.process_events[0].at == 0ms, "the start of the sidecar must be the first event");
 }
 
-Test(timeline_merge, requests_at_the_same_time_get_rows_of_their_own)
+Test(timeline_merge, concurrent_requests_have_separate_rows)
 {
     const auto merged = merge_timelines(two_process_events());
     const std::size_t gateway = merged.process_index(process_id("gw"));
@@ -76,7 +76,7 @@
     cr_assert(rows == std::vector<std::size_t>({0, 1}));
 }
 
-Test(timeline_merge, the_same_events_give_the_same_files)
+Test(timeline_merge, output_is_deterministic)
 {
     auto events = two_process_events();
     std::ostringstream first;
@@ -86,7 +86,7 @@
     cr_assert(first.str() == second.str());
 }
 
-Test(trace_events, every_slice_and_both_ends_of_each_message_are_there)
+Test(trace_events, writes_every_slice_and_both_ends_of_each_message)
 {
     int slices = 0;
     int starts = 0;
@@ -97,11 +97,11 @@
         starts += phase == "s" ? 1 : 0;
         finishes += phase == "f" ? 1 : 0;
     }
-    cr_assert(slices == 3 + 7, "three requests at processes with seven steps");
+    cr_assert(slices == 3 + 7, "expected three request spans and seven steps");
     cr_assert(starts == 2 && finishes == 2);
 }
 
-Test(timeline_picture, a_callers_text_cannot_become_part_of_the_page)
+Test(timeline_picture, escapes_client_text)
 {
     auto events = two_process_events();
     events[0].request = request_id("</title><script>alert(1)</script>");
@@ -112,7 +112,7 @@
     cr_assert(page.str().find(">gw</text>") != std::string::npos);
 }
 
-Test(timeline_picture, a_long_time_line_stays_a_page_of_bounded_size)
+Test(timeline_picture, page_size_is_bounded)
 {
     std::vector<timeline_event> events;
     events.reserve(60'000);
@@ -124,7 +124,7 @@
     cr_assert(page.str().find("20000 steps and messages are not drawn") != std::string::npos);
 }
 
-Test(timeline_file, a_line_cut_off_is_counted_and_the_rest_read)
+Test(timeline_file, counts_a_truncated_line_and_reads_the_rest)
 {
     std::string text;
     for (const auto& event : two_process_events()) {
--- a/tests/timeline/timeline_recorder_test.cpp
+++ b/tests/timeline/timeline_recorder_test.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-Test(timeline_recorder, every_thread_s_events_reach_the_file)
+Test(timeline_recorder, writes_events_of_all_threads)
 {
     const std::string file = temporary_file();
     {
@@ -48,7 +48,7 @@
     std::filesystem::remove(file);
 }
 
-Test(timeline_recorder, a_full_ring_drops_counts_and_says_so_in_the_file)
+Test(timeline_recorder, full_ring_drops_events_and_records_the_count)
 {
     const std::string file = temporary_file();
     std::uint64_t dropped = 0;
@@ -59,13 +59,13 @@
         }
         dropped = recorder.dropped();
     }
-    cr_assert(dropped > 0, "one writer is slower than a sender that does nothing else");
+    cr_assert(dropped > 0, "the sender must outpace the writer");
     const auto reading = read_timeline_files({file}).value();
     cr_assert(reading.events.back().step == "timeline_dropped");
     std::filesystem::remove(file);
 }
 
-Test(timeline_recorder, without_a_file_it_records_nothing)
+Test(timeline_recorder, records_nothing_without_a_file)
 {
     auto recorder = timeline_recorder::start(process_id("gw"), "", 64).value();
     recorder.record(request_id("r"), "accepted");
