--- a/include/dragonflymill/core/ids.h
+++ b/include/dragonflymill/core/ids.h
@@ -10,7 +10,7 @@
 using failure_domain_id = name_id<struct failure_domain_tag>;
 /// One machine.
 using host_id = name_id<struct host_tag>;
-/// A group of failure domains with low network latency between them.
+/// A group of failure domains that are close to each other.
 using region_id = name_id<struct region_tag>;
 /// A customer of one of the partners.
 using client_account_id = name_id<struct client_account_tag>;
--- a/src/http/http_session.h
+++ b/src/http/http_session.h
@@ -25,7 +25,7 @@
 {
     /// Called with each complete request; must respond with the session's `respond` or `open_events`.
     std::function<void(const std::shared_ptr<http_session>&, http_request)> on_request;
-    /// Called once for a request whose client disconnected before the complete response was sent.
+    /// Called once for a request whose client disconnected before `respond` or `close_events` was called.
     std::function<void(std::uint64_t exchange)> on_caller_left;
     /// Returns the response to a request whose body exceeds the body budget; if empty, a default 503 response
     /// is sent.
