--- a/src/http/http_call.cpp
+++ b/src/http/http_call.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-auto head_text(const http_request& request, const boost::asio::ip::tcp::endpoint& server) -> std::string
+auto request_header(const http_request& request, const boost::asio::ip::tcp::endpoint& server) -> std::string
 {
     std::string text = request.method + " " + request.target + " HTTP/1.1\r\n";
     text += "Host: " + to_text(server) + "\r\n";
@@ -39,7 +39,7 @@
 void http_call::start(http_request request, instant not_after, call_handlers handlers)
 {
     handlers_ = std::move(handlers);
-    head_ = head_text(request, server_);
+    head_ = request_header(request, server_);
     body_ = std::move(request.body);
     stream_.expires_after(limits_.connect_timeout);
     stream_.async_connect(server_, [self = shared_from_this(), not_after](error_code failure) {
@@ -59,14 +59,14 @@
     if (over_) {
         return;
     }
-    // Asked just before the first byte leaves: the process may have been paused since the decision, and
-    // whoever made it may have been told by now that the call was not run.
+    // Checked immediately before the first byte is sent: the process may have been paused since the decision
+    // to call, and the call may have been reported as not run in the meantime.
     if (failure || runtime::now() >= not_after) {
         end(call_end::not_sent);
         return;
     }
     error_code ignored;
-    // NOLINTNEXTLINE(bugprone-unused-return-value): without it the call is only slower
+    // NOLINTNEXTLINE(bugprone-unused-return-value): best effort; failure only adds latency
     stream_.socket().set_option(boost::asio::ip::tcp::no_delay(true), ignored);
     stream_.expires_after(limits_.first_byte_timeout);
     const std::array<boost::asio::const_buffer, 2> parts{boost::asio::buffer(head_),
--- a/src/http/http_session.cpp
+++ b/src/http/http_session.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr std::size_t discard_bytes = 64 * 1024;
+constexpr std::size_t discard_chunk_bytes = 64 * 1024;
 
 } // namespace
 
@@ -74,9 +74,9 @@
         return;
     }
     if (beast::iequals(parser_->get()[beast::http::field::expect], "100-continue")) {
-        static const std::string go_on = "HTTP/1.1 100 Continue\r\n\r\n";
+        static const std::string continue_line = "HTTP/1.1 100 Continue\r\n\r\n";
         boost::asio::async_write(
-            stream_, boost::asio::buffer(go_on),
+            stream_, boost::asio::buffer(continue_line),
             [self = shared_from_this()](error_code /*failure*/, std::size_t /*bytes*/) {});
     }
     stream_.expires_after(limits_.body_timeout);
@@ -88,7 +88,7 @@
 
 auto http_session::claim_body() -> bool
 {
-    // One that says no length may send as much as any: the rest is given back once it is read.
+    // A chunked body has no declared length and claims the maximum; the excess is released after reading.
     const auto length = parser_->content_length();
     return body_.claim(length || !parser_->chunked() ? static_cast<std::size_t>(length.value_or(0))
                                                      : limits_.max_body_bytes);
@@ -100,10 +100,10 @@
     keep_alive_ = false;
     body_unread_ = true;
     stream_.expires_never();
-    auto answer = handlers_.on_no_room
-                      ? handlers_.on_no_room()
-                      : error_response(503, "overloaded", "send the request again a little later");
-    write_out(response_text(answer, false), true);
+    auto response = handlers_.on_no_room
+                        ? handlers_.on_no_room()
+                        : error_response(503, "overloaded", "send the request again a little later");
+    write_out(response_text(response, false), true);
 }
 
 void http_session::on_body(error_code failure)
@@ -118,11 +118,11 @@
 void http_session::reject_unreadable(error_code failure)
 {
     namespace http = beast::http;
-    const bool silent = failure == http::error::end_of_stream || failure == http::error::partial_message ||
-                        failure == boost::asio::error::connection_reset ||
-                        failure == boost::asio::error::operation_aborted;
+    const bool connection_ended =
+        failure == http::error::end_of_stream || failure == http::error::partial_message ||
+        failure == boost::asio::error::connection_reset || failure == boost::asio::error::operation_aborted;
     const bool idle_timeout = failure == beast::error::timeout && !parser_->got_some();
-    if (silent || idle_timeout || state_ != state::reading) {
+    if (connection_ended || idle_timeout || state_ != state::reading) {
         shut();
         return;
     }
@@ -158,8 +158,9 @@
 
 void http_session::watch_for_close()
 {
-    // A caller that closes, even only its sending side, has left: its work is cancelled down to the engine.
-    // Bytes that arrive instead are the next request; they wait in the socket until this one is answered.
+    // A client that closes the connection or only its sending side has disconnected; its work is cancelled
+    // through to the engine. Bytes that arrive instead belong to the next request and stay in the socket
+    // until the current response is sent.
     const auto watched = exchange_;
     stream_.socket().async_wait(
         boost::asio::ip::tcp::socket::wait_read, [self = shared_from_this(), watched](error_code failure) {
@@ -177,10 +178,10 @@
 void http_session::caller_left()
 {
     const bool unanswered = state_ == state::waiting || state_ == state::streaming;
-    const auto left = exchange_;
+    const auto abandoned_exchange = exchange_;
     shut();
-    if (unanswered && left != 0) {
-        handlers_.on_caller_left(left);
+    if (unanswered && abandoned_exchange != 0) {
+        handlers_.on_caller_left(abandoned_exchange);
     }
 }
 
@@ -253,8 +254,8 @@
     }
     unsent_bytes_ += bytes.size();
     if (unsent_bytes_ > limits_.max_unsent_bytes && !last) {
-        // A reader this slow would make us hold its whole answer; it is cut off, and sees a stream without an
-        // end.
+        // Disconnects a client that reads too slowly, since its response would be buffered without limit. The
+        // client sees a truncated stream.
         caller_left();
         return;
     }
@@ -313,13 +314,13 @@
 
 void http_session::discard_then_shut()
 {
-    // Closed at once with bytes unread, the connection is reset and the caller may never see its answer.
+    // Closing a socket with unread bytes resets the connection, and the client may lose the response.
     error_code ignored;
-    // NOLINTNEXTLINE(bugprone-unused-return-value): a caller that is gone shows at the next read
+    // NOLINTNEXTLINE(bugprone-unused-return-value): a disconnected client is detected by the next read
     stream_.socket().shutdown(boost::asio::ip::tcp::socket::shutdown_send, ignored);
     buffer_.clear();
     stream_.expires_after(limits_.write_timeout);
-    stream_.async_read_some(buffer_.prepare(discard_bytes),
+    stream_.async_read_some(buffer_.prepare(discard_chunk_bytes),
                             [self = shared_from_this()](error_code failure, std::size_t bytes) {
                                 self->discarded_ += bytes;
                                 if (failure || self->discarded_ > self->limits_.max_body_bytes) {
@@ -337,7 +338,7 @@
         if (failure || self->exchange_ != exchange || self->state_ != state::streaming) {
             return;
         }
-        // Shows both ends that the connection is alive while the engine is still reading a long prompt.
+        // Keeps the connection alive while the engine is still in the prefill of a long prompt.
         self->write_out(chunk_text(": waiting\n\n"), false);
         self->schedule_comment();
     });
@@ -349,7 +350,7 @@
     body_.release();
     comment_timer_.cancel();
     error_code ignored;
-    // NOLINTNEXTLINE(bugprone-unused-return-value): the connection is given up either way
+    // NOLINTNEXTLINE(bugprone-unused-return-value): the connection is closed in any case
     stream_.socket().shutdown(boost::asio::ip::tcp::socket::shutdown_both, ignored);
     stream_.close();
 }
--- a/src/log/logger.cpp
+++ b/src/log/logger.cpp
@@ -24,27 +24,26 @@
 
 namespace {
 
-constexpr std::size_t queue_bound = 8192;
-constexpr int level_off = 1000;
-/// What is queued at the end is written within this, or given up: the queue takes a few milliseconds to
-/// write.
-constexpr auto close_limit = std::chrono::milliseconds(500);
+constexpr std::size_t queue_capacity = 8192;
+constexpr int logging_off = 1000;
+/// Maximum time to write queued events when the logger is destroyed; a full queue takes a few milliseconds.
+constexpr auto close_timeout = std::chrono::milliseconds(500);
 constexpr const char* record_attribute = "Record";
 
-// The process's one logger; Boost.Log's core is global as well, so there can't be two.
-std::atomic<int> enabled_level{level_off};
-std::atomic<std::uint64_t> dropped_count{0};
-std::atomic<std::uint64_t> told_count{0}; // dropped events that the log itself speaks of
+// State of the single logger of the process. Boost.Log's core is global, so there can't be two.
+std::atomic<int> enabled_level{logging_off};
+std::atomic<std::uint64_t> drop_count{0};
+std::atomic<std::uint64_t> reported_drop_count{0}; // dropped events already reported in the log
 
-/// Drops an event when the queue is full. A request must not wait for a slow disk or terminal: it would miss
-/// its time limit because of its own log.
-class count_on_overflow
+/// Drops events while the queue is full, since a request that waits for a slow disk or terminal could miss
+/// its deadline.
+class drop_on_overflow
 {
 public:
     template <typename Lock>
     static auto on_overflow(const boost::log::record_view& /*record*/, Lock& /*lock*/) -> bool
     {
-        dropped_count.fetch_add(1, std::memory_order_relaxed);
+        drop_count.fetch_add(1, std::memory_order_relaxed);
         return false;
     }
     static void on_queue_space_available() {}
@@ -53,7 +52,7 @@
 
 using backend = boost::log::sinks::text_ostream_backend;
 using frontend = boost::log::sinks::asynchronous_sink<
-    backend, boost::log::sinks::bounded_fifo_queue<queue_bound, count_on_overflow>>;
+    backend, boost::log::sinks::bounded_fifo_queue<queue_capacity, drop_on_overflow>>;
 
 auto wall_now() -> wall_instant
 {
@@ -61,8 +60,8 @@
     return wall_instant(std::chrono::duration_cast<duration>(since_epoch));
 }
 
-/// Standard output without the lock of `std::cout`: the writer may be stuck in a pipe that nobody reads, and
-/// the end of the process flushes `std::cout`.
+/// Standard output without the lock of `std::cout`. The writer may block on a full pipe without a reader, and
+/// process exit flushes `std::cout`, which would then block as well.
 class standard_output : public std::ostream
 {
 public:
@@ -88,7 +87,7 @@
     auto stream = boost::make_shared<std::ofstream>(file, std::ios::app);
     if (!*stream) {
         return error(error_kind::unavailable, "the log file '" + file + "' can't be opened",
-                     "check that its folder exists and may be written to");
+                     "check that its directory exists and is writable");
     }
     return boost::shared_ptr<std::ostream>(std::move(stream));
 }
@@ -102,8 +101,8 @@
 
 auto logger::start(const log_settings& settings) -> result<logger>
 {
-    if (enabled_level.load() != level_off) {
-        return error(error_kind::conflict, "logging is already started", "start one logger a process");
+    if (enabled_level.load() != logging_off) {
+        return error(error_kind::conflict, "logging is already started", "start only one logger per process");
     }
     auto stream = open_stream(settings.file);
     if (!stream) {
@@ -123,8 +122,8 @@
             }
         });
     boost::log::core::get()->add_sink(opened->sink);
-    dropped_count.store(0);
-    told_count.store(0);
+    drop_count.store(0);
+    reported_drop_count.store(0);
     enabled_level.store(static_cast<int>(settings.level));
     return logger(std::move(opened));
 }
@@ -138,7 +137,7 @@
 
 auto logger::operator=(logger&& other) noexcept -> logger&
 {
-    DRAGONFLYMILL_ASSERT(state_ == nullptr || state_ == other.state_, "at most one logger is alive");
+    DRAGONFLYMILL_ASSERT(state_ == nullptr || state_ == other.state_, "at most one logger may exist");
     state_ = std::move(other.state_);
     return *this;
 }
@@ -148,9 +147,9 @@
     if (state_ == nullptr) {
         return;
     }
-    enabled_level.store(level_off);
-    // On a thread of its own: the writer may be stuck in a pipe that nobody reads, and a process that is to
-    // stop would then never end. What is not written by the limit is given up.
+    enabled_level.store(logging_off);
+    // Closed on a separate thread: the writer may block on a full pipe without a reader, which would prevent
+    // the process from exiting. Events not written before the timeout are lost.
     auto closed = std::make_shared<std::promise<void>>();
     auto done = closed->get_future();
     std::thread([closed, sink = state_->sink] {
@@ -164,7 +163,7 @@
         }
         closed->set_value();
     }).detach();
-    done.wait_for(close_limit);
+    done.wait_for(close_timeout);
 }
 
 void logger::flush()
@@ -174,7 +173,7 @@
 
 auto logger::dropped() const -> std::uint64_t
 {
-    return dropped_count.load();
+    return drop_count.load();
 }
 
 auto log_enabled(log_level level) -> bool
@@ -201,10 +200,10 @@
 void detail::queue_event(event id, std::vector<log_field> fields)
 {
     push_event(id, std::move(fields));
-    const auto dropped = dropped_count.load(std::memory_order_relaxed);
-    const auto told = told_count.exchange(dropped, std::memory_order_relaxed);
-    if (dropped > told) {
-        push_event(event::log_dropped, {field("events", dropped - told)});
+    const auto dropped = drop_count.load(std::memory_order_relaxed);
+    const auto reported = reported_drop_count.exchange(dropped, std::memory_order_relaxed);
+    if (dropped > reported) {
+        push_event(event::log_dropped, {field("events", dropped - reported)});
     }
 }
 
--- a/tests/core/random_source_test.cpp
+++ b/tests/core/random_source_test.cpp
@@ -12,17 +12,17 @@
     cr_assert(source.next() == 0xbeeb8da1658eec67ULL);
 }
 
-Test(stable_hash, rendezvous_moves_only_keys_of_the_node_that_left)
+Test(stable_hash, removing_a_node_moves_only_its_own_keys)
 {
     constexpr std::uint64_t keys = 1'000;
     for (std::uint64_t key = 0; key < keys; ++key) {
         const auto a = rendezvous_score(key, "a");
         const auto b = rendezvous_score(key, "b");
         const auto c = rendezvous_score(key, "c");
-        const bool home_was_c = c > a && c > b;
-        const bool home_is_a = a > b;
-        if (!home_was_c) {
-            cr_assert(home_is_a == (a > b && a > c));
+        const bool owner_was_c = c > a && c > b;
+        const bool owner_is_a = a > b;
+        if (!owner_was_c) {
+            cr_assert(owner_is_a == (a > b && a > c));
         }
     }
 }
--- a/tests/timeline/attempt_timeline_test.cpp
+++ b/tests/timeline/attempt_timeline_test.cpp
@@ -6,7 +6,7 @@
 #include <filesystem>
 #include <unistd.h>
 
-// Last: Criterion's macro Test would change the meaning of a name in other headers.
+// Included last: Criterion's macro `Test` conflicts with a name in other headers.
 #include <criterion/criterion.h>
 
 namespace dragonflymill::sidecar {
@@ -21,9 +21,9 @@
     return spec;
 }
 
-/// What the time line holds after `work` was done with it.
+/// Runs `work` with an attempt timeline and returns the recorded events.
 template <typename Work>
-auto events_of(Work work) -> std::vector<timeline_event>
+auto record_events(Work work) -> std::vector<timeline_event>
 {
     std::string file = (std::filesystem::temp_directory_path() / "dragonflymill-tries-XXXXXX").string();
     const int descriptor = mkstemp(file.data());
@@ -31,8 +31,8 @@
     close(descriptor);
     {
         auto recorder = timeline_recorder::start(process_id("sc"), file, 4096).value();
-        attempt_timeline tries(recorder);
-        work(tries);
+        attempt_timeline timeline(recorder);
+        work(timeline);
     }
     auto reading = read_timeline_files({file}).value();
     std::filesystem::remove(file);
@@ -41,15 +41,15 @@
 
 } // namespace
 
-Test(attempt_timeline, both_ends_give_a_message_the_same_name)
+Test(attempt_timeline, message_names_match_at_both_ends)
 {
-    const auto events = events_of([](attempt_timeline& tries) {
-        tries.note(sidecar_event(sidecar_input::attempt_opened{call_number(1), attempt("r", 2)}));
-        tries.note(sidecar_action(sidecar_output::grant_attempt{call_number(1), lease_id(1)}));
-        tries.note(sidecar_action(sidecar_output::finish_attempt{call_number(1), 10, "stop"}));
-        tries.note(sidecar_action(sidecar_output::finish_attempt{call_number(1), 10, "stop"}));
+    const auto events = record_events([](attempt_timeline& timeline) {
+        timeline.note(sidecar_event(sidecar_input::attempt_opened{call_number(1), attempt("r", 2)}));
+        timeline.note(sidecar_action(sidecar_output::grant_attempt{call_number(1), lease_id(1)}));
+        timeline.note(sidecar_action(sidecar_output::finish_attempt{call_number(1), 10, "stop"}));
+        timeline.note(sidecar_action(sidecar_output::finish_attempt{call_number(1), 10, "stop"}));
     });
-    cr_assert(events.size() == 3, "the end is noted once");
+    cr_assert(events.size() == 3, "the end must be recorded once");
     cr_assert(events[0].end == message_end::receive);
     cr_assert(events[0].message == attempt_message(request_id("r"), attempt_number(2), open_message));
     cr_assert(events[1].end == message_end::send);
@@ -57,12 +57,12 @@
     cr_assert(events[2].message == attempt_message(request_id("r"), attempt_number(2), end_message));
 }
 
-Test(attempt_timeline, a_cancelled_call_is_forgotten)
+Test(attempt_timeline, records_nothing_after_a_call_is_cancelled)
 {
-    const auto events = events_of([](attempt_timeline& tries) {
-        tries.note(sidecar_event(sidecar_input::attempt_opened{call_number(1), attempt("r", 1)}));
-        tries.note(sidecar_event(sidecar_input::call_cancelled{call_number(1)}));
-        tries.note(sidecar_action(sidecar_output::grant_attempt{call_number(1), lease_id(1)}));
+    const auto events = record_events([](attempt_timeline& timeline) {
+        timeline.note(sidecar_event(sidecar_input::attempt_opened{call_number(1), attempt("r", 1)}));
+        timeline.note(sidecar_event(sidecar_input::call_cancelled{call_number(1)}));
+        timeline.note(sidecar_action(sidecar_output::grant_attempt{call_number(1), lease_id(1)}));
     });
     cr_assert(events.size() == 1);
 }
