--- a/src/control/control_core.cpp
+++ b/src/control/control_core.cpp
@@ -254,7 +254,8 @@
 void control_core::send(const send_datagram& sent, control_outputs& out)
 {
     auto bytes = seal_.seal(encode_datagram(sent.message));
-    DRAGONFLYMILL_ASSERT(bytes.size() <= max_datagram_bytes, "a sealed datagram must not exceed max_datagram_bytes");
+    DRAGONFLYMILL_ASSERT(bytes.size() <= max_datagram_bytes,
+                         "a sealed datagram must not exceed max_datagram_bytes");
     out.emplace_back(send_bytes{sent.address, std::move(bytes)});
 }
 
--- a/src/upstream/engine_json.cpp
+++ b/src/upstream/engine_json.cpp
@@ -15,7 +15,7 @@
 auto malformed_error(const char* what) -> error
 {
     return {error_kind::corrupt, std::string("the engine's ") + what + " can't be read",
-            "check that the engine implements the interface in docs/upstreams.md"};
+            "check that the engine speaks the interface in docs/upstreams.md"};
 }
 
 auto parse_object(const std::string& text) -> result<json::object>
