--- a/tests/standins/answer.cpp
+++ b/tests/standins/answer.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr token_count shortest_answer = 16;
-constexpr std::uint64_t answer_spread = 112;
+constexpr token_count min_answer_length = 16;
+constexpr std::uint64_t answer_length_range = 112;
 constexpr std::size_t block_bytes = bytes_per_token * static_cast<std::size_t>(cache_block_tokens);
 
 } // namespace
@@ -33,8 +33,8 @@
 auto answer_length(std::string_view model, std::uint64_t prompt_hash, token_count max_tokens) -> token_count
 {
     random_source source(stable_hash(model, prompt_hash));
-    const auto natural = shortest_answer + static_cast<token_count>(source.below(answer_spread));
-    return std::min(natural, max_tokens);
+    const auto full_length = min_answer_length + static_cast<token_count>(source.below(answer_length_range));
+    return std::min(full_length, max_tokens);
 }
 
 auto answer_token(std::string_view model, std::uint64_t prompt_hash, token_count offset) -> std::string
--- a/tests/standins/block_cache.cpp
+++ b/tests/standins/block_cache.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr std::size_t event_limit = 20'000;
+constexpr std::size_t max_events = 20'000;
 
 } // namespace
 
@@ -30,14 +30,14 @@
 
 void block_cache::store(const prompt_digest& prompt, instant now)
 {
-    const auto most = static_cast<std::size_t>(capacity_ / cache_block_tokens);
-    for (std::size_t i = 0; i < prompt.blocks.size() && i < most; ++i) {
+    const auto max_blocks = static_cast<std::size_t>(capacity_ / cache_block_tokens);
+    for (std::size_t i = 0; i < prompt.blocks.size() && i < max_blocks; ++i) {
         const auto block = prompt.blocks[i];
         if (const auto found = blocks_.find(block); found != blocks_.end()) {
             order_.splice(order_.end(), order_, found->second);
             continue;
         }
-        if (blocks_.size() == most) {
+        if (blocks_.size() == max_blocks) {
             record(false, order_.front(), now);
             blocks_.erase(order_.front());
             order_.pop_front();
@@ -71,7 +71,7 @@
         return;
     }
     events_.push_back({sequence_, now + event_lag_, stored, block});
-    if (events_.size() > event_limit) {
+    if (events_.size() > max_events) {
         events_.pop_front();
     }
 }
--- a/tests/standins/booking_caller.cpp
+++ b/tests/standins/booking_caller.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-constexpr auto shortest_retry = std::chrono::milliseconds(20);
-constexpr auto unknown_retry = std::chrono::milliseconds(100);
+constexpr auto min_retry_delay = std::chrono::milliseconds(20);
+constexpr auto unknown_outcome_retry_delay = std::chrono::milliseconds(100);
 
 } // namespace
 
@@ -92,7 +92,8 @@
         end_try();
         return;
     }
-    retry_later(problem.ran_no ? std::max<duration>(shortest_retry, problem.retry_after) : unknown_retry);
+    retry_later(problem.ran_no ? std::max<duration>(min_retry_delay, problem.retry_after)
+                               : unknown_outcome_retry_delay);
 }
 
 void booking_caller::retry_later(duration wait)
--- a/tests/standins/completion_caller.cpp
+++ b/tests/standins/completion_caller.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr auto shortest_retry = std::chrono::milliseconds(20);
+constexpr auto min_retry_delay = std::chrono::milliseconds(20);
 
 /// Text of the first choice, empty if there is none.
 auto choice_text(const json::object& data) -> std::string
@@ -132,13 +132,14 @@
         return;
     }
     around_.refused(problem);
-    const bool hopeless = problem.retry_after == duration::zero() && problem.code.rfind("transport", 0) != 0;
-    if (hopeless || elapsed() + problem.retry_after > around_.patience) {
+    const bool not_retryable =
+        problem.retry_after == duration::zero() && problem.code.rfind("transport", 0) != 0;
+    if (not_retryable || elapsed() + problem.retry_after > around_.patience) {
         finish(completion_end::refused, problem.text());
         return;
     }
     ++result_.refusals;
-    retry_timer_.expires_after(std::max<duration>(shortest_retry, problem.retry_after));
+    retry_timer_.expires_after(std::max<duration>(min_retry_delay, problem.retry_after));
     retry_timer_.async_wait([self = shared_from_this()](const auto&) { self->send(); });
 }
 
--- a/tests/standins/config_standin.cpp
+++ b/tests/standins/config_standin.cpp
@@ -67,7 +67,7 @@
         else if (request.path == "/_fault") {
             exchange.send(200, "{}");
             if (const auto fault = parse_object(request.body)) {
-                inject(*fault);
+                inject_fault(*fault);
             }
         }
         else if (request.path == "/_ledger") {
@@ -98,7 +98,8 @@
         else if (request.path.rfind(keys, 0) != 0) {
             exchange.send(404, error_body("no such call"));
         }
-        else if (const auto found = shown().find(request.path.substr(keys.size())); found != shown().end()) {
+        else if (const auto found = visible_values().find(request.path.substr(keys.size()));
+                 found != visible_values().end()) {
             exchange.send(200, text_of(found->second));
         }
         else {
@@ -109,7 +110,8 @@
     void begin_watch(const http_exchange& exchange, const std::string& key, std::uint64_t after,
                      std::chrono::milliseconds wait)
     {
-        if (const auto found = shown().find(key); found != shown().end() && found->second.revision > after) {
+        if (const auto found = visible_values().find(key);
+            found != visible_values().end() && found->second.revision > after) {
             exchange.send(200, text_of(found->second));
             return;
         }
@@ -143,8 +145,8 @@
             return;
         }
         for (auto it = watches_.begin(); it != watches_.end();) {
-            const auto found = shown().find(it->second.key);
-            if (found == shown().end() || found->second.revision <= it->second.after) {
+            const auto found = visible_values().find(it->second.key);
+            if (found == visible_values().end() || found->second.revision <= it->second.after) {
                 ++it;
                 continue;
             }
@@ -153,7 +155,7 @@
         }
     }
 
-    void inject(const json::object& fault)
+    void inject_fault(const json::object& fault)
     {
         if (fault.contains("down")) {
             down_ = flag_field(fault, "down");
@@ -168,7 +170,7 @@
     }
 
     /// What readers see: while stale, the values of the moment when that began.
-    [[nodiscard]] auto shown() const -> const std::map<std::string, entry>&
+    [[nodiscard]] auto visible_values() const -> const std::map<std::string, entry>&
     {
         return stale_values_ ? *stale_values_ : values_;
     }
@@ -187,7 +189,7 @@
         }
         ++reads_;
         ++window_reads_;
-        most_reads_ = std::max(most_reads_, window_reads_);
+        max_window_reads_ = std::max(max_window_reads_, window_reads_);
         refused_ += window_reads_ > settings_.budget ? 1 : 0;
         return window_reads_ <= settings_.budget;
     }
@@ -195,7 +197,7 @@
     [[nodiscard]] auto ledger() const -> json::object
     {
         return {{"reads", reads_},
-                {"most_reads_in_a_second", most_reads_},
+                {"most_reads_in_a_second", max_window_reads_},
                 {"refused", refused_},
                 {"waiting_watches", watches_.size()},
                 {"revision", revision_}};
@@ -210,7 +212,7 @@
     std::uint64_t revision_ = 0;
     std::chrono::steady_clock::time_point window_begin_{};
     std::int64_t window_reads_ = 0;
-    std::int64_t most_reads_ = 0;
+    std::int64_t max_window_reads_ = 0;
     std::int64_t reads_ = 0;
     std::int64_t refused_ = 0;
     bool down_ = false;
--- a/tests/standins/demo_report.cpp
+++ b/tests/standins/demo_report.cpp
@@ -13,7 +13,7 @@
 struct length_bucket
 {
     const char* name;
-    token_count below;
+    token_count limit;
 };
 
 constexpr length_bucket buckets[] = {{"1k to 4k", 4'000},
@@ -37,7 +37,7 @@
     return std::string(text.data()) + "\n";
 }
 
-auto cell(const std::optional<double>& value, int decimals) -> std::string
+auto format_value(const std::optional<double>& value, int decimals) -> std::string
 {
     if (!value) {
         return "-";
@@ -50,9 +50,9 @@
 auto percentiles_line(const std::string& name, const std::vector<double>& values, int decimals) -> std::string
 {
     return line("  %-22s %6zu %10s %10s %10s", name.c_str(), values.size(),
-                cell(percentile(values, 50), decimals).c_str(),
-                cell(percentile(values, 95), decimals).c_str(),
-                cell(percentile(values, 99), decimals).c_str());
+                format_value(percentile(values, 50), decimals).c_str(),
+                format_value(percentile(values, 95), decimals).c_str(),
+                format_value(percentile(values, 99), decimals).c_str());
 }
 
 auto in_mix(const completion_result& item) -> bool
@@ -67,13 +67,13 @@
     for (const auto& bucket : buckets) {
         std::vector<double> values;
         for (const auto& item : results.completions) {
-            const bool here = item.plan.tokens >= low && item.plan.tokens < bucket.below;
-            if (here && item.first_token && in_mix(item)) {
+            const bool in_bucket = item.plan.tokens >= low && item.plan.tokens < bucket.limit;
+            if (in_bucket && item.first_token && in_mix(item)) {
                 values.push_back(milliseconds(*item.first_token));
             }
         }
         out += percentiles_line(bucket.name, values, 1);
-        low = bucket.below;
+        low = bucket.limit;
     }
     return out;
 }
@@ -126,8 +126,8 @@
                 static_cast<long long>(sent),
                 static_cast<long long>(ends[static_cast<std::size_t>(completion_end::answered)]),
                 static_cast<long long>(ends[static_cast<std::size_t>(completion_end::refused)]),
-                static_cast<long long>(lost), cell(percentile(first, 50), 1).c_str(),
-                cell(percentile(first, 95), 1).c_str());
+                static_cast<long long>(lost), format_value(percentile(first, 50), 1).c_str(),
+                format_value(percentile(first, 95), 1).c_str());
 }
 
 auto service_lines(const demo_results& results) -> std::string
@@ -175,12 +175,12 @@
             line("  refusals met, also those retried: %s %lld, in the warm-up %lld, come again after at most "
                  "%s ms",
                  code.c_str(), static_cast<long long>(tally.later), static_cast<long long>(tally.in_warm_up),
-                 cell(milliseconds(tally.longest_retry_after), 0).c_str());
+                 format_value(milliseconds(tally.longest_retry_after), 0).c_str());
     }
     return out;
 }
 
-auto trouble_lines(const demo_results& results) -> std::string
+auto failure_lines(const demo_results& results) -> std::string
 {
     std::string out;
     for (const auto& item : results.completions) {
@@ -216,7 +216,7 @@
 }
 
 /// Refusals are no loss, but a run that was mostly refused shows little.
-auto closing_line(const demo_results& results) -> std::string
+auto summary_line(const demo_results& results) -> std::string
 {
     const auto sent = std::count_if(results.completions.begin(), results.completions.end(), in_mix);
     const auto refused =
@@ -272,7 +272,7 @@
 auto report_text(const demo_results& results) -> std::string
 {
     return first_token_lines(results) + slowdown_lines(results) + service_lines(results) +
-           completion_lines(results) + trouble_lines(results) + memory_lines(results) + closing_line(results);
+           completion_lines(results) + failure_lines(results) + memory_lines(results) + summary_line(results);
 }
 
 } // namespace dragonflymill::standins
--- a/tests/standins/demo_run.cpp
+++ b/tests/standins/demo_run.cpp
@@ -16,12 +16,12 @@
 namespace {
 
 // Parts of the mix at which the operators act.
-constexpr int out_percent = 30;
-constexpr int back_percent = 55;
-constexpr int stop_percent = 75;
+constexpr int drain_at_percent = 30;
+constexpr int restore_at_percent = 55;
+constexpr int stop_at_percent = 75;
 // A caller of the warm-up that was refused for so long leaves its turn to the next prompt.
-constexpr auto warm_up_patience = std::chrono::milliseconds(500);
-constexpr auto poll_step = std::chrono::milliseconds(200);
+constexpr auto warm_up_retry_limit = std::chrono::milliseconds(500);
+constexpr auto poll_interval = std::chrono::milliseconds(200);
 
 auto ledger_of(const std::string& address) -> std::optional<json::object>
 {
@@ -29,13 +29,13 @@
     return answer.status == 200 ? parse_object(answer.body) : std::nullopt;
 }
 
-auto runs_in(const json::object& ledger) -> std::int64_t
+auto count_runs(const json::object& ledger) -> std::int64_t
 {
     const auto* runs = ledger.if_contains("runs");
     return runs != nullptr && runs->is_array() ? static_cast<std::int64_t>(runs->get_array().size()) : 0;
 }
 
-void say(const char* text)
+void print_progress(const char* text)
 {
     std::printf("%s\n", text);
     std::fflush(stdout);
@@ -50,7 +50,7 @@
     , around_warm_up_(around_)
     , rotation_(settings_.gateways)
 {
-    around_warm_up_.patience = warm_up_patience;
+    around_warm_up_.patience = warm_up_retry_limit;
     around_warm_up_.refused = [this](const gateway_error& problem) { ++tally(problem).in_warm_up; };
     const auto plan = make_plan(settings_.load);
     const auto prepare_all = [this](const auto& planned, auto& out) {
@@ -75,7 +75,7 @@
 auto demo_run::run() -> demo_results
 {
     if (!wait_until_ready()) {
-        say("a gateway did not become ready");
+        print_progress("a gateway did not become ready");
         results_.actions_done = false;
         return results_;
     }
@@ -100,7 +100,7 @@
             if (std::chrono::steady_clock::now() >= end) {
                 return false;
             }
-            std::this_thread::sleep_for(poll_step);
+            std::this_thread::sleep_for(poll_interval);
         }
     }
     return true;
@@ -112,7 +112,7 @@
         send_alone(0);
         return;
     }
-    say("warm-up");
+    print_progress("warm-up");
     warm_up_end_ = std::chrono::steady_clock::now() + settings_.load.warm_up;
     warm_up_open_ = settings_.load.warm_up_callers;
     for (int caller = 0; caller < settings_.load.warm_up_callers; ++caller) {
@@ -140,7 +140,7 @@
 void demo_run::send_alone(std::size_t number)
 {
     if (number == 0) {
-        say("short requests alone");
+        print_progress("short requests alone");
     }
     if (number == alone_.size()) {
         begin_mix();
@@ -156,7 +156,7 @@
 
 void demo_run::begin_mix()
 {
-    say("all lengths together");
+    print_progress("all lengths together");
     phase_ = demo_phase::mix;
     for (const auto& prepared : mix_) {
         at(prepared->plan.at, [this, prepared] { send(prepared); });
@@ -190,25 +190,25 @@
 
 void demo_run::plan_actions()
 {
-    const auto out = settings_.load.length * out_percent / 100;
-    const auto back = settings_.load.length * back_percent / 100;
+    const auto out = settings_.load.length * drain_at_percent / 100;
+    const auto back = settings_.load.length * restore_at_percent / 100;
     if (!settings_.out_command.empty()) {
         results_.work_at_drained = 0;
         at(out, [this] {
-            say("failure domain is taken out");
+            print_progress("failure domain is taken out");
             command(settings_.out_command, [this] {
                 phase_ = demo_phase::domain_out;
                 at(settings_.grace, [this] { count_drained(-1); });
             });
         });
         at(back, [this] {
-            say("failure domain is brought back");
+            print_progress("failure domain is brought back");
             count_drained(1);
             command(settings_.back_command, [this] { phase_ = demo_phase::domain_back; });
         });
     }
     if (settings_.stop_pid > 0) {
-        at(settings_.load.length * stop_percent / 100, [this] { stop_gateway(); });
+        at(settings_.load.length * stop_at_percent / 100, [this] { stop_gateway(); });
     }
 }
 
@@ -216,11 +216,11 @@
 void demo_run::command(const std::string& line, std::function<void()> done)
 {
     commands_.emplace_back([this, line, done = std::move(done), guard = boost::asio::make_work_guard(io_)] {
-        const bool well =
+        const bool succeeded =
             std::system(line.c_str()) == 0; // NOLINT(concurrency-mt-unsafe): nothing changes the environment
-        boost::asio::post(io_, [this, well, done] {
-            if (!well) {
-                say("the operators' command failed");
+        boost::asio::post(io_, [this, succeeded, done] {
+            if (!succeeded) {
+                print_progress("the operators' command failed");
                 results_.actions_done = false;
             }
             done();
@@ -230,7 +230,7 @@
 
 void demo_run::stop_gateway()
 {
-    say("a gateway is told to stop");
+    print_progress("a gateway is told to stop");
     phase_ = demo_phase::stopping;
     results_.actions_done = kill(settings_.stop_pid, SIGTERM) == 0 && results_.actions_done;
     at(settings_.balancer_lag, [this] { rotation_.pop_back(); });
@@ -244,7 +244,7 @@
         const auto call = std::make_shared<http_call>(http_call{engine, "GET", "/_ledger"});
         start_call(io_, call, nullptr, [this, sign](const http_answer& answer) {
             const auto ledger = parse_object(answer.body);
-            *results_.work_at_drained += ledger ? sign * runs_in(*ledger) : 0;
+            *results_.work_at_drained += ledger ? sign * count_runs(*ledger) : 0;
             results_.actions_done = results_.actions_done && ledger.has_value();
         });
     }
@@ -291,7 +291,7 @@
                 break;
             }
             if (left.memory_used != 0) {
-                std::this_thread::sleep_for(poll_step);
+                std::this_thread::sleep_for(poll_interval);
             }
         }
         results_.engines.push_back(left);
--- a/tests/standins/engine_control.cpp
+++ b/tests/standins/engine_control.cpp
@@ -23,11 +23,11 @@
 
 auto engine_control::give(instant now, const control_order& order) -> unsigned
 {
-    constexpr unsigned taken = 200;
-    constexpr unsigned old_fence = 409;
+    constexpr unsigned accepted = 200;
+    constexpr unsigned stale_fence = 409;
     if (honours_fence_) {
         if (order.fence < fence_) {
-            return old_fence;
+            return stale_fence;
         }
         fence_ = order.fence;
     }
@@ -43,7 +43,7 @@
     else {
         apply(order);
     }
-    return taken;
+    return accepted;
 }
 
 void engine_control::advance(instant now)
--- a/tests/standins/engine_model.cpp
+++ b/tests/standins/engine_model.cpp
@@ -7,19 +7,19 @@
 
 namespace {
 
-constexpr unsigned taken = 200;
+constexpr unsigned accepted = 200;
 constexpr unsigned not_loaded = 404;
-constexpr unsigned held_already = 409;
+constexpr unsigned already_held = 409;
 constexpr unsigned too_large = 413;
 constexpr unsigned no_memory = 429;
-constexpr unsigned too_much_load = 503;
+constexpr unsigned overloaded = 503;
 
-constexpr std::size_t run_limit = 20'000;
+constexpr std::size_t max_runs = 20'000;
 // An imported span stays at its source; here it takes this share of its size.
-constexpr token_count import_share = 64;
+constexpr token_count import_memory_divisor = 64;
 // A cold engine prefills this much slower.
-constexpr double cold_slowness = 3.0;
-constexpr token_count large_context = 100'000;
+constexpr double cold_prefill_slowdown = 3.0;
+constexpr token_count context_unit = 100'000;
 
 auto seconds(double value) -> duration
 {
@@ -69,7 +69,7 @@
 auto engine_model::refusal_of(const completion_order& order) const -> unsigned
 {
     if (!up()) {
-        return too_much_load;
+        return overloaded;
     }
     if (!control_.serves(order.model, order.adapter)) {
         return not_loaded;
@@ -78,7 +78,7 @@
         return item.second.order.request_id == order.request_id && item.second.order.attempt == order.attempt;
     };
     if (std::any_of(works_.begin(), works_.end(), same)) {
-        return held_already;
+        return already_held;
     }
     const auto need = order.prompt.tokens - imported_tokens(order) + order.max_tokens;
     if (need > settings_.memory_total) {
@@ -87,13 +87,13 @@
     if (memory_used() + need > settings_.memory_total) {
         return no_memory;
     }
-    return works_.size() >= settings_.stream_limit ? too_much_load : taken;
+    return works_.size() >= settings_.stream_limit ? overloaded : accepted;
 }
 
 auto engine_model::submit(const completion_order& order) -> std::pair<unsigned, work_id>
 {
     const auto refusal = refusal_of(order);
-    if (refusal != taken) {
+    if (refusal != accepted) {
         return {refusal, 0};
     }
     const auto imported = imported_tokens(order);
@@ -113,7 +113,7 @@
     if (!step_end_) {
         start_step();
     }
-    return {taken, id};
+    return {accepted, id};
 }
 
 auto engine_model::cancel(const std::string& request_id) -> bool
@@ -141,10 +141,10 @@
                                int priority) -> std::pair<unsigned, work_id>
 {
     if (!up()) {
-        return {too_much_load, 0};
+        return {overloaded, 0};
     }
     if (spans_.count(span) != 0) {
-        return {held_already, 0};
+        return {already_held, 0};
     }
     if (memory_used() + tokens > settings_.memory_total) {
         return {no_memory, 0};
@@ -161,20 +161,20 @@
     if (!step_end_) {
         start_step();
     }
-    return {taken, id};
+    return {accepted, id};
 }
 
 auto engine_model::import_span(const std::string& span, token_count tokens) -> unsigned
 {
     if (!up()) {
-        return too_much_load;
+        return overloaded;
     }
-    const auto memory = (tokens + import_share - 1) / import_share;
+    const auto memory = (tokens + import_memory_divisor - 1) / import_memory_divisor;
     if (spans_.count(span) == 0 && memory_used() + memory > settings_.memory_total) {
         return no_memory;
     }
     spans_.try_emplace(span, span_entry{tokens, memory});
-    return taken;
+    return accepted;
 }
 
 void engine_model::release_span(const std::string& span)
@@ -187,7 +187,7 @@
 
 auto engine_model::give(const control_order& order) -> unsigned
 {
-    return up() ? control_.give(now_, order) : too_much_load;
+    return up() ? control_.give(now_, order) : overloaded;
 }
 
 void engine_model::fall_over()
@@ -287,10 +287,10 @@
     for (const auto& share : step_prefills_) {
         prefill += share.tokens;
     }
-    const auto slowness = cold() ? cold_slowness : 1.0;
+    const auto slowness = cold() ? cold_prefill_slowdown : 1.0;
     const auto length = settings_.step_base +
                         settings_.step_per_stream * static_cast<std::int64_t>(step_decodes_.size()) +
-                        settings_.step_per_100k_context * context / large_context +
+                        settings_.step_per_100k_context * context / context_unit +
                         seconds(static_cast<double>(prefill) * slowness / settings_.prefill_speed);
     step_end_ = now_ + length;
 }
@@ -425,7 +425,7 @@
 auto engine_model::add_run(const completion_order& order, token_count prefill) -> std::size_t
 {
     runs_.push_back({order.request_id, order.attempt, order.prompt.tokens, prefill, 0, "running"});
-    if (runs_.size() > run_limit) {
+    if (runs_.size() > max_runs) {
         runs_.pop_front();
         ++forgotten_runs_;
     }
--- a/tests/standins/engine_standin.cpp
+++ b/tests/standins/engine_standin.cpp
@@ -50,7 +50,7 @@
         return instant(duration(static_cast<std::int64_t>(micros)));
     }
 
-    [[nodiscard]] auto real_length(duration model_length) const -> duration
+    [[nodiscard]] auto to_real_time(duration model_length) const -> duration
     {
         return duration(
             static_cast<std::int64_t>(static_cast<double>(model_length.count()) * settings_.time_scale));
@@ -61,7 +61,7 @@
         catch_up();
         route(request, exchange);
         catch_up();
-        wait_for_model();
+        schedule_model_wake();
     }
 
     void route(const http_request& request, const http_exchange& exchange)
@@ -84,17 +84,17 @@
             exchange.send(200, json::serialize(events_of(model_, request.parameter("after"))));
         }
         else if (request.path.rfind("/v1/kv/", 0) == 0) {
-            span_call(request.path, *body, exchange);
+            handle_span_call(request.path, *body, exchange);
         }
         else if (request.path == "/v1/orders") {
-            take_order(*body, exchange);
+            handle_order(*body, exchange);
         }
         else if (request.path == "/_ledger") {
             exchange.send(200, json::serialize(ledger_of(model_, settings_.name)));
         }
         else if (request.path == "/_fault") {
             exchange.send(200, "{}");
-            inject(*body);
+            inject_fault(*body);
         }
         else {
             exchange.send(404, error_body("no such call"));
@@ -127,7 +127,7 @@
         });
     }
 
-    void span_call(const std::string& path, const json::object& body, const http_exchange& exchange)
+    void handle_span_call(const std::string& path, const json::object& body, const http_exchange& exchange)
     {
         const auto span = text_field(body, "span");
         const auto tokens = number_field(body, "end") - number_field(body, "begin");
@@ -155,7 +155,7 @@
         }
     }
 
-    void take_order(const json::object& body, const http_exchange& exchange)
+    void handle_order(const json::object& body, const http_exchange& exchange)
     {
         const auto order = control_of(body);
         const auto status = model_.give(order);
@@ -178,7 +178,7 @@
             });
     }
 
-    void inject(const json::object& fault)
+    void inject_fault(const json::object& fault)
     {
         if (flag_field(fault, "go_silent")) {
             server_.http().silence();
@@ -286,18 +286,18 @@
         open.exchange.end_stream();
     }
 
-    void wait_for_model()
+    void schedule_model_wake()
     {
         const auto next = model_.next_wake();
         if (!next) {
             return;
         }
-        auto moment = begin_ + real_length(next->time_since_epoch());
+        auto moment = begin_ + to_real_time(next->time_since_epoch());
         timer_.expires_at(std::max(moment, pause_end_));
         timer_.async_wait([this](const auto& code) {
             if (!code) {
                 catch_up();
-                wait_for_model();
+                schedule_model_wake();
             }
         });
     }
--- a/tests/standins/host_list_standin.cpp
+++ b/tests/standins/host_list_standin.cpp
@@ -36,7 +36,7 @@
         }
         else if (request.path == "/_operator/hosts") {
             exchange.send(200, "{}");
-            show_later(*body);
+            publish_later(*body);
         }
         else if (request.path == "/_fault") {
             exchange.send(200, "{}");
@@ -55,7 +55,7 @@
         }
     }
 
-    void show_later(const json::object& host)
+    void publish_later(const json::object& host)
     {
         const auto timer = std::make_shared<boost::asio::steady_timer>(server_.io(), settings_.lag);
         timer->async_wait([this, timer, host](const auto& code) {
--- a/tests/standins/http_client.cpp
+++ b/tests/standins/http_client.cpp
@@ -98,13 +98,13 @@
     {
         http::async_read_some(
             stream_, buffer_, parser_, [self = shared_from_this()](const auto& code, std::size_t) {
-                self->hand_out();
+                self->deliver_body();
                 self->proceed(code, "read",
                               [&] { self->parser_.is_done() ? self->finish("") : self->read(); });
             });
     }
 
-    void hand_out()
+    void deliver_body()
     {
         auto& body = parser_.get().body();
         if (on_data_ && !body.empty()) {
--- a/tests/standins/http_session.cpp
+++ b/tests/standins/http_session.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr std::uint64_t body_limit = 64ULL * 1024 * 1024;
-constexpr std::size_t watch_size = 64ULL * 1024;
+constexpr std::size_t watch_buffer_size = 64ULL * 1024;
 
 auto lower(std::string_view text) -> std::string
 {
@@ -55,15 +55,15 @@
     return out;
 }
 
-auto neutral_request(http::request<http::string_body> message) -> http_request
+auto to_http_request(http::request<http::string_body> message) -> http_request
 {
     http_request out;
     const std::string_view target(message.target().data(), message.target().size());
-    const auto mark = target.find('?');
+    const auto query_mark = target.find('?');
     out.method = std::string(message.method_string());
-    out.path = std::string(target.substr(0, mark));
-    if (mark != std::string_view::npos) {
-        out.query = parse_query(target.substr(mark + 1));
+    out.path = std::string(target.substr(0, query_mark));
+    if (query_mark != std::string_view::npos) {
+        out.query = parse_query(target.substr(query_mark + 1));
     }
     for (const auto& field : message) {
         const auto name = field.name_string();
@@ -161,7 +161,7 @@
     ++number_;
     answering_ = true;
     watch_for_close();
-    handle_(neutral_request(parser_->release()), http_exchange(shared_from_this(), number_));
+    handle_(to_http_request(parser_->release()), http_exchange(shared_from_this(), number_));
 }
 
 // A caller that leaves shows as end of file on a socket that nobody reads while the answer is made.
@@ -171,7 +171,7 @@
         return;
     }
     watching_ = true;
-    socket_.async_read_some(buffer_.prepare(watch_size),
+    socket_.async_read_some(buffer_.prepare(watch_buffer_size),
                             [self = shared_from_this()](const auto& code, std::size_t size) {
                                 self->watching_ = false;
                                 if (self->silent_) {
--- a/tests/standins/load_plan.cpp
+++ b/tests/standins/load_plan.cpp
@@ -13,8 +13,8 @@
 constexpr int short_templates = 20;
 // The shortest answer that a stand-in model gives: short requests are then all of one length.
 constexpr token_count short_answer = 16;
-constexpr token_count short_from = 1'000;
-constexpr token_count short_step = 150;
+constexpr token_count short_prompt_min = 1'000;
+constexpr token_count short_prompt_step = 150;
 
 /// A share of the mix whose prompts lie between two lengths.
 struct length_band
@@ -32,29 +32,29 @@
 
 auto template_tokens(int number) -> token_count
 {
-    return short_from + short_step * number;
+    return short_prompt_min + short_prompt_step * number;
 }
 
-auto even_time(int number, int count, duration length) -> duration
+auto evenly_spaced_time(int number, int count, duration length) -> duration
 {
     return length * number / std::max(1, count);
 }
 
 /// Lengths spread evenly on a logarithmic scale.
-auto length_in(const length_band& band, random_source& random) -> token_count
+auto draw_length(const length_band& band, random_source& random) -> token_count
 {
     const auto ratio = static_cast<double>(band.high) / static_cast<double>(band.low);
     return static_cast<token_count>(static_cast<double>(band.low) * std::pow(ratio, random.unit()));
 }
 
-auto drawn_completion(random_source& random, const load_size& size) -> planned_completion
+auto draw_completion(random_source& random, const load_size& size) -> planned_completion
 {
     planned_completion out;
     out.seed = random.next();
     auto draw = random.unit();
     for (const auto& band : bands) {
         if (draw < band.share) {
-            out.tokens = std::min(size.longest, length_in(band, random));
+            out.tokens = std::min(size.longest, draw_length(band, random));
             out.max_tokens = short_answer + static_cast<token_count>(random.below(48));
             return out;
         }
@@ -92,15 +92,15 @@
     random_source random(size.seed);
     load_plan out;
     for (int number = 0; number < warm_up_prompts && size.warm_up > duration::zero(); ++number) {
-        const auto tokens = std::min(size.longest, length_in(warm_up_band, random));
+        const auto tokens = std::min(size.longest, draw_length(warm_up_band, random));
         out.warm_up.push_back({duration::zero(), tokens, short_answer, random.next(), -1});
     }
     for (int number = 0; number < short_templates; ++number) {
         out.alone.push_back({duration::zero(), template_tokens(number), short_answer, random.next(), number});
     }
     for (int number = 0; number < size.requests; ++number) {
-        auto item = drawn_completion(random, size);
-        item.at = even_time(number, size.requests, size.length);
+        auto item = draw_completion(random, size);
+        item.at = evenly_spaced_time(number, size.requests, size.length);
         out.completions.push_back(item);
     }
     // The longest prompt is there whatever was drawn, early enough to come to its end.
@@ -111,7 +111,7 @@
     }
     for (int number = 0; number < size.bookings; ++number) {
         const auto gap = std::chrono::milliseconds(random.below(100));
-        out.bookings.push_back({even_time(number, size.bookings, size.length), gap, random.next()});
+        out.bookings.push_back({evenly_spaced_time(number, size.bookings, size.length), gap, random.next()});
     }
     return out;
 }
--- a/tests/standins/service_standin.cpp
+++ b/tests/standins/service_standin.cpp
@@ -37,7 +37,7 @@
         if (request.path == "/_fault") {
             exchange.send(200, "{}");
             if (const auto fault = parse_object(request.body)) {
-                inject(*fault);
+                inject_fault(*fault);
             }
             return;
         }
@@ -93,7 +93,7 @@
         return {{"name", settings_.name}, {"executions", counts}, {"waiting", waiting_}};
     }
 
-    void inject(const json::object& fault)
+    void inject_fault(const json::object& fault)
     {
         if (flag_field(fault, "go_silent")) {
             server_.http().silence();
--- a/tests/standins/standins_main.cpp
+++ b/tests/standins/standins_main.cpp
@@ -88,7 +88,7 @@
     return out;
 }
 
-void say_listening(std::uint16_t port, const std::string& name)
+void print_listening(std::uint16_t port, const std::string& name)
 {
     std::printf("listening 127.0.0.1:%u %s\n", port, name.c_str());
 }
@@ -111,7 +111,7 @@
     settings.engine.honours_fence = !given["ignore-fence"].as<bool>();
     settings.engine.seed = given["seed"].as<std::uint64_t>() + static_cast<std::uint64_t>(number);
     running.engines.push_back(std::make_unique<standins::engine_standin>(settings));
-    say_listening(running.engines.back()->port(), name);
+    print_listening(running.engines.back()->port(), name);
 }
 
 void start_service(const options::variables_map& given, const std::string& name, int number,
@@ -122,30 +122,30 @@
     settings.port = port_of(given, number);
     settings.latency = std::chrono::milliseconds(given["latency-ms"].as<int>());
     running.services.push_back(std::make_unique<standins::service_standin>(settings));
-    say_listening(running.services.back()->port(), name);
+    print_listening(running.services.back()->port(), name);
 }
 
-auto start_platform(const options::variables_map& given, const std::string& kind, running_standins& running)
-    -> bool
+auto start_platform_standin(const options::variables_map& given, const std::string& kind,
+                            running_standins& running) -> bool
 {
     const auto port = port_of(given, 0);
     if (kind == "config") {
         running.configs.push_back(std::make_unique<standins::config_standin>(
             standins::config_standin_settings{port, given["config-budget"].as<std::int64_t>()}));
-        say_listening(running.configs.back()->port(), kind);
+        print_listening(running.configs.back()->port(), kind);
     }
     else if (kind == "hosts") {
         const auto lag = std::chrono::milliseconds(given["host-lag-ms"].as<int>());
         running.host_lists.push_back(
             std::make_unique<standins::host_list_standin>(standins::host_list_standin_settings{port, lag}));
-        say_listening(running.host_lists.back()->port(), kind);
+        print_listening(running.host_lists.back()->port(), kind);
     }
     else if (kind == "weights") {
         standins::weight_store_standin_settings settings;
         settings.port = port;
         settings.loads_at_once = given["loads-at-once"].as<std::int64_t>();
         running.weight_stores.push_back(std::make_unique<standins::weight_store_standin>(settings));
-        say_listening(running.weight_stores.back()->port(), kind);
+        print_listening(running.weight_stores.back()->port(), kind);
     }
     else {
         return false;
@@ -157,7 +157,7 @@
     -> bool
 {
     if (request.kind != "engine" && request.kind != "service") {
-        return start_platform(given, request.kind, running);
+        return start_platform_standin(given, request.kind, running);
     }
     const auto word = given["name"].as<std::string>();
     const auto base = word.empty() ? request.kind : word;
@@ -190,11 +190,11 @@
 auto run(int argc, char** argv) -> int
 {
     // Blocked before the first thread starts, so that every thread inherits it and only sigwait takes them.
-    sigset_t ends;
-    sigemptyset(&ends);
-    sigaddset(&ends, SIGTERM);
-    sigaddset(&ends, SIGINT);
-    pthread_sigmask(SIG_BLOCK, &ends, nullptr);
+    sigset_t end_signals;
+    sigemptyset(&end_signals);
+    sigaddset(&end_signals, SIGTERM);
+    sigaddset(&end_signals, SIGINT);
+    pthread_sigmask(SIG_BLOCK, &end_signals, nullptr);
 
     const auto description = describe();
     options::positional_options_description positional;
@@ -209,7 +209,7 @@
         return given.count("help") != 0 ? 0 : usage_error;
     }
     int received = 0;
-    sigwait(&ends, &received);
+    sigwait(&end_signals, &received);
     return 0;
 }
 
--- a/tests/standins/weight_store_standin.cpp
+++ b/tests/standins/weight_store_standin.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr int pieces = 16;
+constexpr int chunk_count = 16;
 
 } // namespace
 
@@ -60,11 +60,11 @@
             exchange.send(429, error_body("over the rate"), {{"Retry-After", "1"}});
         }
         else {
-            begin(exchange);
+            start_load(exchange);
         }
     }
 
-    void begin(const http_exchange& exchange)
+    void start_load(const http_exchange& exchange)
     {
         ++loads_;
         ++running_;
@@ -79,14 +79,14 @@
         if (item->ended) {
             return;
         }
-        if (item->sent == pieces) {
+        if (item->sent == chunk_count) {
             end(*item);
             item->exchange.end_stream();
             return;
         }
         ++item->sent;
-        item->exchange.write(std::string(settings_.size / pieces, 'w'));
-        item->timer.expires_after(settings_.load_time / pieces);
+        item->exchange.write(std::string(settings_.size / chunk_count, 'w'));
+        item->timer.expires_after(settings_.load_time / chunk_count);
         item->timer.async_wait([this, item](const auto& code) {
             if (!code) {
                 send_next(item);
--- a/tests/standins_self/answer_test.cpp
+++ b/tests/standins_self/answer_test.cpp
@@ -6,7 +6,7 @@
 
 using namespace dragonflymill;
 
-Test(answer, blocks_are_hashed_as_the_product_hashes_them)
+Test(answer, block_hashes_match_the_gateway)
 {
     std::string prompt(10'000, 'x');
     prompt[5'000] = 'y';
--- a/tests/standins_self/demo_run_test.cpp
+++ b/tests/standins_self/demo_run_test.cpp
@@ -54,7 +54,7 @@
     cr_assert(results.bookings.front().executions == 1);
 }
 
-Test(demo_run, refused_request_is_sent_again)
+Test(demo_run, retries_a_refused_request)
 {
     const auto results = results_with(gateway_fault::refuses_first);
     cr_assert(is_clean(results));
@@ -63,7 +63,7 @@
     cr_assert(results.completions.front().end == completion_end::answered);
 }
 
-Test(demo_run, refusal_beyond_the_patience_is_the_last)
+Test(demo_run, gives_up_when_retry_after_exceeds_the_retry_limit)
 {
     const auto results = results_with(gateway_fault::refuses_for_long);
     cr_assert(results.completions.front().end == completion_end::refused);
@@ -72,7 +72,7 @@
     cr_assert(is_clean(results), "a truthful refusal is no loss");
 }
 
-Test(demo_run, every_kind_of_loss_is_noticed)
+Test(demo_run, detects_every_kind_of_lost_completion)
 {
     cr_assert(results_with(gateway_fault::cuts_a_stream).completions.front().end == completion_end::broken);
     cr_assert(results_with(gateway_fault::skips_a_token).completions.front().end == completion_end::wrong);
@@ -82,7 +82,7 @@
     cr_assert(!is_clean(failed));
 }
 
-Test(demo_run, doubled_and_lost_bookings_are_noticed)
+Test(demo_run, detects_doubled_and_lost_bookings)
 {
     const auto doubled = results_with(gateway_fault::books_twice);
     cr_assert(doubled_bookings(doubled) == 5);
@@ -92,7 +92,7 @@
     cr_assert(!is_clean(lost));
 }
 
-Test(demo_run, leaked_memory_and_work_in_a_drained_domain_are_noticed)
+Test(demo_run, detects_leaked_memory_and_work_in_a_drained_domain)
 {
     demo_results results;
     results.engines = {{"a", 0, 0}, {"b", 10, 0}};
@@ -106,7 +106,7 @@
     cr_assert(!is_clean(results));
 }
 
-Test(demo_run, booking_left_in_doubt_is_lost_and_one_surely_not_run_is_not)
+Test(demo_run, booking_of_unknown_outcome_is_lost_unless_reported_not_run)
 {
     demo_results results;
     results.bookings.resize(1);
@@ -118,7 +118,7 @@
     cr_assert(lost_bookings(results) == 1);
 }
 
-Test(demo_run, warm_up_stands_apart_from_the_mix)
+Test(demo_run, report_keeps_warm_up_apart_from_the_mix)
 {
     demo_results results;
     results.completions.resize(1);
@@ -131,7 +131,7 @@
     cr_assert(report_text(results).find("7000.0") != std::string::npos);
 }
 
-Test(demo_run, percentile_is_the_nearest_rank)
+Test(demo_run, percentile_uses_the_nearest_rank)
 {
     cr_assert(!percentile({}, 50));
     cr_assert(percentile({3, 1, 2}, 50) == 2);
--- a/tests/standins_self/engine_model_test.cpp
+++ b/tests/standins_self/engine_model_test.cpp
@@ -57,7 +57,7 @@
 
 } // namespace
 
-Test(engine_model, whole_answer_is_the_expected_one_and_leaves_no_memory)
+Test(engine_model, complete_answer_is_as_expected_and_frees_memory)
 {
     engine_model model(warm_settings());
     const auto [status, work] = model.submit(order_of("a", 1'000));
@@ -99,7 +99,7 @@
     cr_assert(run() == run());
 }
 
-Test(engine_model, prompt_of_high_priority_passes_a_long_one_between_chunks)
+Test(engine_model, high_priority_prompt_preempts_a_long_prefill_between_chunks)
 {
     engine_model model(warm_settings());
     const auto long_work = model.submit(order_of("l", 200'000, 2)).second;
@@ -113,7 +113,7 @@
 
 Test(engine_model, step_takes_longer_with_more_streams_and_context)
 {
-    const auto last_of = [](int streams, token_count context) {
+    const auto finish_time = [](int streams, token_count context) {
         engine_model model(warm_settings());
         for (int i = 0; i < streams; ++i) {
             (void)model.submit(order_of(std::string(1, static_cast<char>('a' + i)), context));
@@ -123,9 +123,9 @@
         return model.now();
     };
     const auto prefill = [](token_count tokens) { return duration(tokens * 40); };
-    const auto alone = last_of(1, 1'000) - prefill(1'000);
-    cr_assert(last_of(8, 1'000) - prefill(8'000) > alone);
-    cr_assert(last_of(1, 200'000) - prefill(200'000) > alone);
+    const auto alone = finish_time(1, 1'000) - prefill(1'000);
+    cr_assert(finish_time(8, 1'000) - prefill(8'000) > alone);
+    cr_assert(finish_time(1, 200'000) - prefill(200'000) > alone);
 }
 
 Test(engine_model, cached_prefix_is_not_computed_again)
@@ -144,7 +144,7 @@
     cr_assert(model.cache_events(0).size() < 42, "some never show");
 }
 
-Test(engine_model, memory_that_is_not_there_is_refused)
+Test(engine_model, rejects_excess_memory_unknown_models_and_duplicates)
 {
     engine_model model(warm_settings());
     cr_assert(model.submit(order_of("a", 450'000)).first == 413);
@@ -168,7 +168,7 @@
     cr_assert(model.memory_used() == 0);
 }
 
-Test(engine_model, cold_engine_falls_over_under_full_load_and_forgets_all)
+Test(engine_model, cold_engine_crashes_under_full_load_and_loses_all_state)
 {
     engine_model model(engine_settings{});
     const auto start = model.start_id();
@@ -188,7 +188,7 @@
     cr_assert(model.submit(order_of("z", 500)).first == 200);
 }
 
-Test(engine_model, cold_engine_that_works_off_a_little_at_a_time_becomes_warm)
+Test(engine_model, cold_engine_becomes_warm_under_light_load)
 {
     engine_model model(engine_settings{});
     std::map<work_id, stream_outcome> seen;
@@ -202,7 +202,7 @@
     cr_assert(model.cold());
 }
 
-Test(engine_model, span_is_held_until_released_and_carries_a_prompt_larger_than_the_memory)
+Test(engine_model, span_is_held_until_released_and_admits_a_prompt_larger_than_memory)
 {
     engine_model source(warm_settings());
     cr_assert(source.export_span("r", "r.0", 400'000).first == 200);
@@ -222,7 +222,7 @@
     cr_assert(decoder.runs().back().prefilled == 400'000);
 }
 
-Test(engine_model, a_span_of_low_priority_waits_for_a_prompt_that_came_later)
+Test(engine_model, low_priority_span_waits_for_a_later_prompt)
 {
     engine_model model(warm_settings());
     cr_assert(model.export_span("gang", "gang.0", 200'000, 2).first == 200);
@@ -235,7 +235,7 @@
     cr_assert(events.front().work == work && events.front().kind == engine_event::type::token);
 }
 
-Test(engine_model, old_fencing_number_is_refused_only_by_engines_that_honour_it)
+Test(engine_model, only_engines_that_honour_fencing_reject_an_old_number)
 {
     for (const bool honours : {true, false}) {
         auto settings = warm_settings();
--- a/tests/standins_self/engine_standin_test.cpp
+++ b/tests/standins_self/engine_standin_test.cpp
@@ -41,7 +41,7 @@
 
 } // namespace
 
-Test(engine_standin, stream_has_every_token_and_an_end)
+Test(engine_standin, stream_has_every_token_and_an_end_event)
 {
     const engine_standin engine(warm_settings());
     const auto answer = post(address_of(engine), "/v1/completions", completion("r"));
@@ -53,7 +53,7 @@
     cr_assert(memory_used(address_of(engine)) == 0);
 }
 
-Test(engine_standin, dropped_stream_ends_without_an_end_and_holds_memory)
+Test(engine_standin, dropped_stream_has_no_end_event_and_holds_memory)
 {
     const engine_standin engine(warm_settings());
     const auto address = address_of(engine);
@@ -69,7 +69,7 @@
 // A user of the stand-in sees its memory free after a dropped stream, now and then, on a busy machine.
 // The engine's thread runs late, so that the token that drops the stream and the end of its answer come in
 // one go. The drop was noted only when the connection had closed, behind the end.
-Test(engine_standin, dropped_stream_holds_memory_however_late_the_engine_runs)
+Test(engine_standin, dropped_stream_holds_memory_when_the_engine_thread_is_late)
 {
     auto settings = warm_settings();
     settings.time_scale = 1e-9;
@@ -84,7 +84,7 @@
     cr_assert(memory_used(address) == 0);
 }
 
-Test(engine_standin, caller_that_leaves_lets_the_stream_hold_memory)
+Test(engine_standin, stream_holds_memory_after_its_caller_disconnects)
 {
     auto settings = warm_settings();
     settings.time_scale = 10;
@@ -94,7 +94,7 @@
     cr_assert(memory_used(address_of(engine)) == 103);
 }
 
-Test(engine_standin, silent_connection_says_nothing_while_new_ones_work)
+Test(engine_standin, silenced_connection_sends_nothing_while_new_ones_work)
 {
     auto settings = warm_settings();
     settings.time_scale = 10;
@@ -112,7 +112,7 @@
     cr_assert(occurrences(silent.body, "finish_reason") == 0);
 }
 
-Test(engine_standin, wrong_request_id_shows_in_one_stream)
+Test(engine_standin, wrong_request_id_affects_one_stream)
 {
     const engine_standin engine(warm_settings());
     const auto address = address_of(engine);
@@ -123,7 +123,7 @@
     cr_assert(occurrences(right.body, R"("request_id":"r2")") == 6);
 }
 
-Test(engine_standin, pause_holds_answers_back)
+Test(engine_standin, pause_delays_answers)
 {
     const engine_standin engine(warm_settings());
     const auto address = address_of(engine);
@@ -159,7 +159,7 @@
     cr_assert(memory_used(address) == 10);
 }
 
-Test(engine_standin, weights_over_the_rate_leave_a_model_unloaded)
+Test(engine_standin, rejected_weight_load_leaves_the_model_unloaded)
 {
     weight_store_standin_settings store_settings;
     store_settings.loads_at_once = 1;
--- a/tests/standins_self/platform_standins_test.cpp
+++ b/tests/standins_self/platform_standins_test.cpp
@@ -12,7 +12,7 @@
 using namespace dragonflymill;
 using namespace dragonflymill::standins;
 
-Test(service_standin, every_execution_of_a_key_is_counted)
+Test(service_standin, counts_every_execution_of_a_key)
 {
     const service_standin service({});
     const auto address = address_of(service);
@@ -28,7 +28,7 @@
     cr_assert(ledger.find(R"("in the body":1)") != std::string::npos);
 }
 
-Test(config_standin, watch_answers_at_a_change_or_at_the_end_of_its_wait)
+Test(config_standin, watch_returns_on_a_change_or_on_timeout)
 {
     const config_standin config({});
     const auto address = address_of(config);
@@ -45,7 +45,7 @@
     cr_assert(get(address, "/v1/keys/bundle").body == seen.body);
 }
 
-Test(config_standin, it_cannot_be_written_and_values_are_bounded)
+Test(config_standin, rejects_writes_and_oversized_values)
 {
     const config_standin config({});
     const auto address = address_of(config);
@@ -54,7 +54,7 @@
     cr_assert(post(address, "/_operator/bundle", std::string(1U << 20U, 'x')).status == 200);
 }
 
-Test(config_standin, reads_over_the_budget_are_refused)
+Test(config_standin, rejects_reads_over_the_budget)
 {
     const config_standin config({0, 3});
     const auto address = address_of(config);
@@ -66,7 +66,7 @@
     cr_assert(number_field(object_of(get(address, "/_ledger")), "refused") == refused);
 }
 
-Test(config_standin, down_and_stale_are_what_readers_see)
+Test(config_standin, readers_see_outages_and_stale_values)
 {
     const config_standin config({});
     const auto address = address_of(config);
@@ -80,7 +80,7 @@
     cr_assert(number_field(object_of(get(address, "/v1/keys/bundle")), "revision") == 2);
 }
 
-Test(host_list_standin, change_shows_after_the_lag)
+Test(host_list_standin, publishes_a_change_after_the_lag)
 {
     const host_list_standin hosts({0, 1h});
     const auto address = address_of(hosts);
@@ -98,7 +98,7 @@
     }
 }
 
-Test(weight_store_standin, loads_over_the_rate_are_refused)
+Test(weight_store_standin, rejects_loads_over_the_concurrency_limit)
 {
     weight_store_standin_settings settings;
     settings.loads_at_once = 1;
@@ -117,7 +117,7 @@
     cr_assert(get(address, "/v1/weights/m").status == 200);
 }
 
-Test(standins_program, one_process_hosts_many_and_ends_at_sigterm)
+Test(standins_program, runs_many_standins_in_one_process_until_sigterm)
 {
     test_support::child_process program(DRAGONFLYMILL_BINARY_DIR "/standins",
                                         {"engines=3", "service", "config", "hosts", "weights"});
@@ -132,7 +132,7 @@
     cr_assert(program.pid() == 0);
 }
 
-Test(standins_program, wrong_usage_is_said)
+Test(standins_program, invalid_usage_exits_with_status_2)
 {
     test_support::child_process program(DRAGONFLYMILL_BINARY_DIR "/standins", {"nonsense"});
     cr_assert(program.wait() == 2);
