--- a/tests/standins/block_cache.h
+++ b/tests/standins/block_cache.h
@@ -11,32 +11,31 @@
 
 namespace dragonflymill::standins {
 
-/// What became of a block of the prefix cache.
+/// Reports that a block was stored in the prefix cache or removed from it.
 struct block_event
 {
-    std::uint64_t sequence = 0; ///< Rises by one; a missing number is a lost event.
-    instant shows{};            ///< Not seen by anyone earlier.
-    bool stored = false;        ///< Stored, else removed.
-    std::uint64_t block = 0;    ///< Chained hash.
+    std::uint64_t sequence = 0; ///< Increases by one; a gap means a lost event.
+    instant shows{};            ///< Time from which the event is visible.
+    bool stored = false;        ///< Whether the block was stored; otherwise removed.
+    std::uint64_t block = 0;    ///< Chained hash of the block.
 
     friend auto operator==(const block_event&, const block_event&) -> bool = default;
 };
 
-/// Prefix cache of an engine: blocks in limited memory, the least recently used goes first; events late and
-/// with gaps.
+/// Prefix cache of an engine with LRU eviction of blocks. Its events are delayed, and some are lost.
 class block_cache
 {
 public:
-    /// Holds up to `capacity` tokens.
+    /// Holds up to `capacity` tokens. A fraction `event_loss` of the events is lost, chosen by `seed`.
     block_cache(token_count capacity, duration event_lag, double event_loss, std::uint64_t seed);
 
-    /// Tokens at the prompt's beginning that are cached.
+    /// Length of the prompt's cached prefix in tokens.
     [[nodiscard]] auto cached_tokens(const prompt_digest& prompt) const -> token_count;
-    /// Stores a prompt's blocks, or moves them to the end of the eviction order.
+    /// Stores the blocks of a prompt, or marks them as most recently used.
     void store(const prompt_digest& prompt, instant now);
-    /// Forgets all, without events: a restarted engine doesn't tell what it lost.
+    /// Removes all blocks without events: a restarted engine doesn't report what it lost.
     void clear();
-    /// Events above `after` that show at `now`.
+    /// Events visible at `now` with a sequence number above `after`.
     [[nodiscard]] auto events(std::uint64_t after, instant now) const -> std::vector<block_event>;
 
 private:
--- a/tests/standins/booking_caller.h
+++ b/tests/standins/booking_caller.h
@@ -4,23 +4,23 @@
 
 namespace dragonflymill::standins {
 
-/// A key as callers make them: UUID version 7, with the present time in it.
+/// Makes an idempotency key as clients do: a UUID version 7 with the current time plus `ahead`.
 [[nodiscard]] auto booking_key(std::uint64_t seed,
                                std::chrono::milliseconds ahead = std::chrono::milliseconds::zero())
     -> std::string;
 
-/// A caller of one booking, that sends it twice with the same key through different gateways, and each of the
-/// two again until it is answered.
+/// Caller of one booking. Sends it twice with the same idempotency key through different gateways, and
+/// retries each of the two until it succeeds or the retry time is over.
 class booking_caller : public std::enable_shared_from_this<booking_caller>
 {
 public:
-    /// Told once, when both tries are over.
+    /// Called once, when both attempts have ended.
     using end_callback = std::function<void(const booking_result&)>;
 
-    /// A caller in `phase`; `around` outlives it.
+    /// `around` must outlive the caller; `phase` goes into the result.
     booking_caller(caller_surroundings& around, const planned_booking& plan, std::string account_key,
                    demo_phase phase, end_callback ended);
-    /// Sends the first try.
+    /// Sends the first attempt and schedules the second.
     void start();
 
 private:
--- a/tests/standins/completion_caller.cpp
+++ b/tests/standins/completion_caller.cpp
@@ -13,7 +13,7 @@
 
 constexpr auto min_retry_delay = std::chrono::milliseconds(20);
 
-/// Text of the first choice, empty if there is none.
+/// Text of the first choice in an event, empty if there is none.
 auto choice_text(const json::object& data) -> std::string
 {
     const auto* choices = data.if_contains("choices");
--- a/tests/standins/completion_caller.h
+++ b/tests/standins/completion_caller.h
@@ -10,41 +10,42 @@
 
 namespace dragonflymill::standins {
 
-/// What every caller of the demo has in common.
+/// Context shared by the callers of the demo.
 struct caller_surroundings
 {
-    boost::asio::io_context& io;                       ///< Where all run.
-    std::function<std::string()> next_gateway;         ///< The balancer's choice.
-    std::function<void(const gateway_error&)> refused; ///< Told of each refusal.
-    duration patience = 15s;                           ///< For how long refusals are retried.
-    duration time_limit = 40s;                         ///< For one try.
+    boost::asio::io_context& io; ///< Runs all callers.
+    std::function<std::string()>
+        next_gateway; ///< Address for the next request, as a load balancer would choose it.
+    std::function<void(const gateway_error&)> refused; ///< Called for each refusal.
+    duration patience = 15s;   ///< Time since the first attempt in which refusals are retried.
+    duration time_limit = 40s; ///< Timeout of one attempt.
 };
 
-/// A completion with all that is needed to send and to check it.
+/// A completion with its request body and expected answer.
 struct prepared_completion
 {
-    planned_completion plan; ///< What.
-    std::string model;       ///< For which model.
-    std::string key;         ///< Account's bearer token.
-    std::string body;        ///< The request's body.
-    std::string expected;    ///< The whole answer.
+    planned_completion plan; ///< The planned request.
+    std::string model;       ///< Requested model.
+    std::string key;         ///< Bearer token of the client account.
+    std::string body;        ///< Request body.
+    std::string expected;    ///< Expected complete answer.
 };
 
-/// Makes the body and the expected answer.
+/// Builds the request body and the expected answer.
 [[nodiscard]] auto prepare(const planned_completion& plan, const std::string& model, const std::string& key)
     -> prepared_completion;
 
-/// A caller of one streamed completion, that comes again when refused and checks the answer whole.
+/// Caller of one streamed completion. Retries refusals and checks the complete answer.
 class completion_caller : public std::enable_shared_from_this<completion_caller>
 {
 public:
-    /// Told once of the end.
+    /// Called once with the result.
     using end_callback = std::function<void(const completion_result&)>;
 
-    /// A caller in `phase`; `around` outlives it.
+    /// `around` must outlive the caller; `phase` goes into the result.
     completion_caller(caller_surroundings& around, std::shared_ptr<const prepared_completion> prepared,
                       demo_phase phase, end_callback ended);
-    /// Sends the first try.
+    /// Sends the first attempt.
     void start();
 
 private:
@@ -63,9 +64,9 @@
     boost::asio::steady_timer retry_timer_;
     std::chrono::steady_clock::time_point begin_;
     completion_result result_;
-    std::string received_; // not yet taken apart
-    std::string text_;     // of the answer so far
-    bool done_ = false;    // the stream said that it is whole
+    std::string received_; // received bytes not yet parsed
+    std::string text_;     // text of the answer so far
+    bool done_ = false;    // received the final event
     std::optional<gateway_error> stream_error_;
 };
 
--- a/tests/standins/config_standin.cpp
+++ b/tests/standins/config_standin.cpp
@@ -169,7 +169,7 @@
         wake_watches();
     }
 
-    /// What readers see: while stale, the values of the moment when that began.
+    /// Values that readers receive: while the `stale` fault is on, those from when it was turned on.
     [[nodiscard]] auto visible_values() const -> const std::map<std::string, entry>&
     {
         return stale_values_ ? *stale_values_ : values_;
--- a/tests/standins/config_standin.h
+++ b/tests/standins/config_standin.h
@@ -5,19 +5,19 @@
 
 namespace dragonflymill::standins {
 
-/// How the configuration service's stand-in runs.
+/// Settings of the configuration service stand-in.
 struct config_standin_settings
 {
-    std::uint16_t port = 0;      ///< 0 takes a free one.
-    std::int64_t budget = 2'000; ///< Reads a second across all readers; each watch is one.
+    std::uint16_t port = 0;      ///< Listening port; 0 picks a free one.
+    std::int64_t budget = 2'000; ///< Reads per second over all readers; a watch counts as one read.
 };
 
-/// The platform's configuration service: read and watched by the system, written only by the operator's side
-/// (`POST /_operator/{key}`), which the system never calls.
+/// Stand-in of the platform's configuration service. The system under test reads and watches keys; only
+/// operators write them, by `POST /_operator/{key}`.
 class config_standin
 {
 public:
-    /// Starts listening.
+    /// Starts listening on 127.0.0.1.
     explicit config_standin(const config_standin_settings& settings);
     config_standin(const config_standin&) = delete;
     auto operator=(const config_standin&) -> config_standin& = delete;
--- a/tests/standins/demo_main.cpp
+++ b/tests/standins/demo_main.cpp
@@ -82,8 +82,8 @@
     return !code;
 }
 
-/// Below the range that the system takes ports of outgoing connections from: those would take a port away
-/// between its choice here and the start of its listener.
+/// Prints ports below the ephemeral range, where an outgoing connection could take a port before its listener
+/// starts.
 void print_free_ports(int count)
 {
     using boost::asio::ip::tcp;
@@ -93,7 +93,7 @@
     constexpr unsigned stride = 100;
     boost::asio::io_context io;
     const auto loopback = boost::asio::ip::address_v4::loopback();
-    // Two demos at the same time begin at different ports.
+    // Concurrent demos start their search at different ports.
     const auto offset = static_cast<unsigned>(getpid()) * stride % (last - first);
     for (unsigned tried = 0; tried < last - first && count > 0; ++tried) {
         const auto port = static_cast<std::uint16_t>(first + (offset + tried) % (last - first));
--- a/tests/standins/demo_report.cpp
+++ b/tests/standins/demo_report.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Prompts of the table's one line.
+/// Range of prompt lengths of one line of the table; `limit` is exclusive, in tokens.
 struct length_bucket
 {
     const char* name;
@@ -78,7 +78,7 @@
     return out;
 }
 
-/// Time alone of each short template; nothing where it failed.
+/// Total time in ms of each short request sent alone, by template; without those that weren't answered.
 auto times_alone(const demo_results& results) -> std::map<int, double>
 {
     std::map<int, double> out;
@@ -215,7 +215,8 @@
            line("Time of the run: %.1f s", milliseconds(results.length) / thousand);
 }
 
-/// Refusals are no loss, but a run that was mostly refused shows little.
+/// States the verdict, and how many completions were refused: refusals don't count as losses, but a run in
+/// which most were refused proves little.
 auto summary_line(const demo_results& results) -> std::string
 {
     const auto sent = std::count_if(results.completions.begin(), results.completions.end(), in_mix);
--- a/tests/standins/demo_report.h
+++ b/tests/standins/demo_report.h
@@ -9,85 +9,88 @@
 
 namespace dragonflymill::standins {
 
-/// How one completion ended.
+/// Outcome of a completion.
 enum class completion_end
 {
-    answered, ///< Whole, and the expected answer.
-    refused,  ///< Refused to the last, never run.
+    answered, ///< Complete, with the expected answer.
+    refused,  ///< Refused on the last attempt; never run.
     failed,   ///< Ended with an explicit error.
-    broken,   ///< Ended with neither an end nor an error, or not in its time limit.
-    wrong,    ///< Looked whole, but isn't the expected answer.
+    broken,   ///< The stream broke off or timed out without an end event or an error.
+    wrong,    ///< Complete, but not the expected answer.
 };
 
-/// Number of ends.
+/// Number of enumerators of completion_end.
 inline constexpr std::size_t completion_end_count = 5;
 
-/// What the caller of one completion saw.
+/// Result of one completion, as its caller observed it.
 struct completion_result
 {
-    planned_completion plan;                     ///< What was sent.
-    demo_phase phase = demo_phase::mix;          ///< When it was sent.
-    completion_end end = completion_end::broken; ///< How it ended.
-    int refusals = 0;                            ///< Refusals met on the way, each followed by a retry.
-    std::optional<duration> first_token;         ///< From the first try.
-    duration whole{};                            ///< From the first try to the end.
-    std::string why;                             ///< Of an end that isn't an answer.
+    planned_completion plan;                     ///< The planned request.
+    demo_phase phase = demo_phase::mix;          ///< Phase in which it was sent.
+    completion_end end = completion_end::broken; ///< Outcome.
+    int refusals = 0;                            ///< Number of refusals that were retried.
+    std::optional<duration> first_token;         ///< Time to first token, since the first attempt.
+    duration whole{};                            ///< Total time, since the first attempt.
+    std::string why;                             ///< Error of an outcome other than answered.
 };
 
-/// What became of one booking.
+/// Result of one booking.
 struct booking_result
 {
-    std::string key;             ///< Its idempotency key.
-    demo_phase phase{};          ///< When it was first sent.
-    int confirmations = 0;       ///< Tries that were answered with success.
-    int unknown = 0;             ///< Tries whose answer was that it may have run.
-    bool surely_not_run = false; ///< Whether the last answer to a try said that it was not run.
-    int not_run = 0;             ///< Tries whose answer was that it wasn't run.
-    std::int64_t executions = 0; ///< At all services together.
-    std::string why;             ///< Last refusal or failure.
+    std::string key;             ///< Idempotency key.
+    demo_phase phase{};          ///< Phase in which it was first sent.
+    int confirmations = 0;       ///< Attempts answered with success.
+    int unknown = 0;             ///< Attempts whose answer, or lack of one, means that it may have run.
+    bool surely_not_run = false; ///< Whether the last unsuccessful attempt was reported as not run.
+    int not_run = 0;             ///< Attempts reported as not run.
+    std::int64_t executions = 0; ///< Executions, summed over all services.
+    std::string why;             ///< Last error.
 };
 
-/// One engine's ledger after the run.
+/// State of an engine after the run, from its ledger.
 struct engine_leftover
 {
-    std::string address;          ///< Where.
-    token_count memory_used = -1; ///< Tokens still held; -1 if it can't be read.
-    std::int64_t falls = 0;       ///< Restarts by overload in cold start.
+    std::string address;          ///< Address of the engine.
+    token_count memory_used = -1; ///< Tokens still held; -1 if the ledger can't be read.
+    std::int64_t falls = 0;       ///< Crashes from overload while cold.
 };
 
-/// Refusals of one code.
+/// Refusals with the same error code.
 struct refusal_tally
 {
-    std::int64_t in_warm_up = 0;    ///< Met in the warm-up.
-    std::int64_t later = 0;         ///< Met after it.
-    duration longest_retry_after{}; ///< The longest time after which to come again.
+    std::int64_t in_warm_up = 0;    ///< Number in the warm-up.
+    std::int64_t later = 0;         ///< Number after the warm-up.
+    duration longest_retry_after{}; ///< Longest retry-after time received.
 };
 
-/// Everything that the demo measured.
+/// All results of a demo run.
 struct demo_results
 {
     std::vector<completion_result> completions;    ///< All.
     std::vector<booking_result> bookings;          ///< All.
     std::vector<engine_leftover> engines;          ///< All.
-    std::map<std::string, refusal_tally> refusals; ///< Refusals met, retried ones included, by code.
-    std::optional<std::int64_t> work_at_drained;   ///< Streams that engines of the domain taken out
-                                                   ///< began later than the grace time.
-    bool actions_done = true;                      ///< Whether the operators' actions went well.
-    duration length{};                             ///< Of the whole run.
+    std::map<std::string, refusal_tally> refusals; ///< Refusals by code, including those retried.
+    std::optional<std::int64_t> work_at_drained;   ///< Streams that engines of the drained domain
+                                                   ///< started after the grace time.
+    bool actions_done = true; ///< Whether the gateways became ready, the operator actions succeeded and their
+                              ///< ledgers could be read.
+    duration length{};        ///< Duration of the whole run.
 };
 
-/// The value below which `percent` of the values lie (nearest rank); nothing without values.
+/// Percentile by the nearest-rank method; nullopt without values.
 [[nodiscard]] auto percentile(std::vector<double> values, double percent) -> std::optional<double>;
 
-/// Completions that ended otherwise than by a whole answer or a refusal.
+/// Number of completions that ended neither with the expected answer nor with a refusal.
 [[nodiscard]] auto lost_completions(const demo_results& results) -> std::int64_t;
-/// Bookings confirmed and never executed, executed and never confirmed, or whose caller was left in doubt.
+/// Number of bookings confirmed but not executed, executed but not confirmed, or neither confirmed nor
+/// finally reported as not run.
 [[nodiscard]] auto lost_bookings(const demo_results& results) -> std::int64_t;
-/// Bookings executed more than once.
+/// Number of bookings executed more than once.
 [[nodiscard]] auto doubled_bookings(const demo_results& results) -> std::int64_t;
-/// Whether the run shows nothing lost, doubled or leaked, and no new work in a domain taken out.
+/// Whether nothing was lost, doubled or leaked, the drained domain got no new work, and all operator actions
+/// succeeded.
 [[nodiscard]] auto is_clean(const demo_results& results) -> bool;
-/// The table.
+/// The results as a table for the terminal.
 [[nodiscard]] auto report_text(const demo_results& results) -> std::string;
 
 } // namespace dragonflymill::standins
--- a/tests/standins/demo_run.cpp
+++ b/tests/standins/demo_run.cpp
@@ -15,11 +15,11 @@
 
 namespace {
 
-// Parts of the mix at which the operators act.
+// Times of the operator actions, in percent of the duration of the mix.
 constexpr int drain_at_percent = 30;
 constexpr int restore_at_percent = 55;
 constexpr int stop_at_percent = 75;
-// A caller of the warm-up that was refused for so long leaves its turn to the next prompt.
+// A warm-up caller gives up a refused prompt after this time and sends the next one.
 constexpr auto warm_up_retry_limit = std::chrono::milliseconds(500);
 constexpr auto poll_interval = std::chrono::milliseconds(200);
 
@@ -212,7 +212,7 @@
     }
 }
 
-// A command may take long; the load goes on meanwhile.
+// Runs the command on its own thread, since it may take long and the load must continue.
 void demo_run::command(const std::string& line, std::function<void()> done)
 {
     commands_.emplace_back([this, line, done = std::move(done), guard = boost::asio::make_work_guard(io_)] {
@@ -236,8 +236,8 @@
     at(settings_.balancer_lag, [this] { rotation_.pop_back(); });
 }
 
-/// Streams that the drained engines began: subtracted when the grace time is over, added just before the
-/// return.
+/// Adds (`sign` 1) or subtracts (`sign` -1) the streams in the drained engines' ledgers. Subtracting after
+/// the grace time and adding just before the domain returns yields the streams started in between.
 void demo_run::count_drained(int sign)
 {
     for (const auto& engine : settings_.drained_engines) {
--- a/tests/standins/demo_run.h
+++ b/tests/standins/demo_run.h
@@ -12,36 +12,37 @@
 
 namespace dragonflymill::standins {
 
-/// Where everything is and what the operators do.
+/// Settings of a demo run: addresses, operator actions and load.
 struct demo_settings
 {
-    std::vector<std::string> gateways;        ///< Addresses; the last one is stopped.
-    pid_t stop_pid = 0;                       ///< Process of the last gateway; 0 leaves it alone.
-    std::vector<std::string> account_keys;    ///< Bearer tokens.
+    std::vector<std::string> gateways;        ///< Gateway addresses; the last one is stopped.
+    pid_t stop_pid = 0;                       ///< Process id of the last gateway; 0 doesn't stop it.
+    std::vector<std::string> account_keys;    ///< Bearer tokens of the client accounts.
     std::vector<std::string> engines;         ///< Addresses of all stand-in engines.
-    std::vector<std::string> drained_engines; ///< Those in the domain taken out.
+    std::vector<std::string> drained_engines; ///< Engines in the drained failure domain.
     std::vector<std::string> services;        ///< Addresses of all stand-in services.
-    std::string model = "m";                  ///< Model asked for.
-    std::string out_command;                  ///< Takes the failure domain out; empty leaves it in.
-    std::string back_command;                 ///< Brings it back.
-    duration grace = 3s;                      ///< Time in which new work may still reach a domain taken out.
-    duration balancer_lag = 500ms;            ///< Time in which a stopping gateway still gets requests.
-    duration ready_limit = 20s;               ///< Time for gateways to become ready.
-    duration settle = 10s;                    ///< Time for engines to let go of everything.
-    load_size load;                           ///< How much.
+    std::string model = "m";                  ///< Requested model.
+    std::string out_command;       ///< Shell command that drains the failure domain; empty skips it.
+    std::string back_command;      ///< Shell command that brings it back.
+    duration grace = 3s;           ///< Time after draining in which new work may still reach the domain.
+    duration balancer_lag = 500ms; ///< Time in which a stopping gateway still receives new requests.
+    duration ready_limit = 20s;    ///< Timeout for all gateways to become ready.
+    duration settle = 10s;         ///< Timeout for the engines to release all memory.
+    load_size load;                ///< Size of the load.
 };
 
-/// The demo: sends the plan, does the operators' actions, collects what happened.
+/// Runs the demo: sends the planned load, performs the operator actions and collects the results.
 class demo_run
 {
 public:
-    /// Prepares every prompt and answer.
+    /// Prepares all prompts and expected answers.
     explicit demo_run(demo_settings settings);
     demo_run(const demo_run&) = delete;
     auto operator=(const demo_run&) -> demo_run& = delete;
     ~demo_run();
 
-    /// Runs it all; takes the length of the load and what it needs to settle.
+    /// Runs the demo to its end. Blocks for the duration of the load, and until the engines have released
+    /// their memory or `settle` is over.
     [[nodiscard]] auto run() -> demo_results;
 
 private:
--- a/tests/standins/engine_control.h
+++ b/tests/standins/engine_control.h
@@ -9,48 +9,46 @@
 
 namespace dragonflymill::standins {
 
-/// An order to change what an engine serves.
+/// An order that changes what an engine serves.
 struct control_order
 {
     std::uint64_t fence = 0; ///< Fencing number.
     std::string kind;        ///< load_model, unload_model, load_adapter or set_role.
-    std::string model;       ///< For the first two.
-    std::string adapter;     ///< For load_adapter.
-    std::string role;        ///< For set_role.
+    std::string model;       ///< Model of load_model and unload_model.
+    std::string adapter;     ///< Adapter of load_adapter.
+    std::string role;        ///< Role of set_role.
 };
 
-/// What an engine serves, and the orders that change it: loads take time, old fencing numbers are refused or
-/// not.
+/// Models, adapters and role of an engine, and the orders that change them. Loads take time; orders with a
+/// stale fencing number are refused if the engine honours fencing.
 class engine_control
 {
 public:
-    /// Starts with these models. A model takes `order_time` to load, an adapter a tenth of it.
+    /// Starts with `models` loaded. A model takes `order_time` to load, an adapter a tenth of it.
     engine_control(std::vector<std::string> models, duration order_time, bool honours_fence);
 
-    /// Takes an order at `now`: status of the answer.
+    /// Applies or starts an order at `now`. Returns the HTTP status: 200, or 409 for a stale fencing number.
     [[nodiscard]] auto give(instant now, const control_order& order) -> unsigned;
-    /// Ends the loads that are done at `now`.
+    /// Completes the loads that are due by `now`.
     void advance(instant now);
-    /// When the next load is done; nothing if none runs.
+    /// Completion time of the next load; nullopt without a running load.
     [[nodiscard]] auto next_wake() const -> std::optional<instant>;
-    /// The weights of a model that is being loaded didn't come: the order has no effect.
+    /// Aborts the load of a model, as when fetching its weights failed.
     void fail_load(const std::string& model);
-    /// Back to what it started with; only the list of orders stays.
+    /// Resets to the initial models, role and fencing number. The list of carried out orders is kept.
     void restart();
 
-    /// Whether a completion with this model and adapter (empty for none) can be served.
+    /// Whether the model and the adapter (empty for none) are loaded.
     [[nodiscard]] auto serves(const std::string& model, const std::string& adapter) const -> bool;
-    /// Highest fencing number it reports; 0 for ever if it doesn't honour them.
+    /// Highest fencing number received; stays 0 if the engine doesn't honour fencing.
     [[nodiscard]] auto fence() const -> std::uint64_t { return fence_; }
-    /// Its role: both, prefill or decode.
+    /// Role of the engine: both, prefill or decode.
     [[nodiscard]] auto role() const -> const std::string& { return role_; }
-    /// Loaded models.
     [[nodiscard]] auto models() const -> const std::vector<std::string>& { return models_; }
     /// Models that are being loaded.
     [[nodiscard]] auto loading() const -> std::vector<std::string>;
-    /// Loaded adapters.
     [[nodiscard]] auto adapters() const -> const std::vector<std::string>& { return adapters_; }
-    /// Orders that it carried out, in order.
+    /// Orders that were not refused, in order of receipt.
     [[nodiscard]] auto carried_out() const -> const std::vector<control_order>& { return carried_out_; }
 
 private:
--- a/tests/standins/engine_model.cpp
+++ b/tests/standins/engine_model.cpp
@@ -15,9 +15,9 @@
 constexpr unsigned overloaded = 503;
 
 constexpr std::size_t max_runs = 20'000;
-// An imported span stays at its source; here it takes this share of its size.
+// The memory of an imported span stays at its source; the importing engine uses 1/64 of its size.
 constexpr token_count import_memory_divisor = 64;
-// A cold engine prefills this much slower.
+// Factor on the prefill time of a cold engine.
 constexpr double cold_prefill_slowdown = 3.0;
 constexpr token_count context_unit = 100'000;
 
@@ -101,7 +101,7 @@
     work item;
     item.order = order;
     item.context = order.prompt.tokens + order.resume_offset;
-    // The last token of a prompt is always computed: it yields the first token of the answer.
+    // The last token of a prompt is always prefilled, since it yields the first token of the answer.
     item.prefill_left = std::max<token_count>(1, item.context - cached);
     item.memory = order.prompt.tokens - imported + order.max_tokens;
     item.next_offset = order.resume_offset;
@@ -215,8 +215,7 @@
     warmed_ = 0;
 }
 
-// Overload of a cold engine shows as a crash of the whole engine, not as slowness: everything it held is
-// lost.
+// An overloaded cold engine doesn't slow down but crashes and loses everything it holds.
 void engine_model::check_cold_limit()
 {
     if (!cold() || works_.size() < 2) {
@@ -348,13 +347,13 @@
 {
     auto& item = works_.at(id);
     if (!item.span.empty()) {
-        spans_.erase(item.span); // a span that was never computed can't be used
+        spans_.erase(item.span); // the span is incomplete and can't be used
     }
     if (auto* run = run_of(item)) {
         run->outcome = reason;
     }
     out.push_back({engine_event::type::end, id, item.next_offset, reason});
-    // No one read the end of a detached stream, so no one is known to have let it go.
+    // The caller of a detached stream didn't receive its end, so its memory is held until it is cancelled.
     if (item.detached && reason != "cancelled") {
         item.ended = true;
         return;
--- a/tests/standins/engine_model.h
+++ b/tests/standins/engine_model.h
@@ -14,74 +14,76 @@
 
 namespace dragonflymill::standins {
 
-/// How fast and how large an engine is. Times are the engine's own; the stand-in scales them.
+/// Speed and size of an engine. Times are engine time; the stand-in scales them.
 struct engine_settings
 {
-    std::vector<std::string> models{"m"};     ///< Loaded at the start.
-    token_count memory_total = 450'000;       ///< KV memory of streams and spans.
-    token_count cache_total = 100'000;        ///< KV memory of the prefix cache, on top.
-    double prefill_speed = 25'000;            ///< Tokens a second.
-    token_count chunk = 2'048;                ///< Most prefill tokens of one step.
-    std::size_t batch = 32;                   ///< Most streams that decode in one step.
-    std::size_t stream_limit = 96;            ///< More streams than these are refused.
-    duration step_base = 18ms;                ///< Time of a step that does next to nothing.
-    duration step_per_stream = 300us;         ///< Added for each decoding stream.
-    duration step_per_100k_context = 1'500us; ///< Added for each 100,000 tokens of decoding context.
-    duration load_lag = 200ms;                ///< Age that load reports reach.
-    duration event_lag = 500ms;               ///< Delay of cache events.
-    double event_loss = 0.02;                 ///< Share of cache events that never show.
-    duration order_time = 2s;                 ///< Time to load a model; adapters take a tenth.
-    bool honours_fence = true;                ///< Refuses orders with an old fencing number.
-    bool starts_cold = true;                  ///< Whether its first start is cold, too.
+    std::vector<std::string> models{"m"}; ///< Models loaded at the start.
+    token_count memory_total = 450'000;   ///< KV memory for streams and spans, in tokens.
+    token_count cache_total = 100'000;    ///< Additional KV memory of the prefix cache, in tokens.
+    double prefill_speed = 25'000;        ///< Prefill speed in tokens per second.
+    token_count chunk = 2'048;            ///< Maximum prefill tokens of one iteration.
+    std::size_t batch = 32;               ///< Maximum streams that decode in one iteration.
+    std::size_t stream_limit = 96;        ///< Maximum streams and exports held; further streams are refused.
+    duration step_base = 18ms;            ///< Base duration of an iteration.
+    duration step_per_stream = 300us;     ///< Additional duration for each decoding stream.
+    duration step_per_100k_context =
+        1'500us; ///< Additional duration for each 100,000 tokens of decoding context.
+    duration load_lag =
+        200ms; ///< Minimum time between samples of the load; a report shows the sample before the latest.
+    duration event_lag = 500ms; ///< Delay until a cache event is visible.
+    double event_loss = 0.02;   ///< Fraction of cache events that are lost.
+    duration order_time = 2s;   ///< Time to load a model; an adapter takes a tenth of it.
+    bool honours_fence = true;  ///< Whether orders with a stale fencing number are refused.
+    bool starts_cold = true;    ///< Whether the first start is cold like every restart.
     token_count cold_tokens =
-        60'000; ///< Tokens of prompts and answers carried at the beginning of a cold start.
-    token_count warm_after = 150'000; ///< Tokens worked off until it carries its full load.
-    duration restart_time = 3s;       ///< Time for which it answers nothing after it fell over.
-    std::uint64_t seed = 1;           ///< Of the lost cache events.
+        60'000; ///< Memory capacity at the beginning of a cold start, in tokens; more makes the engine crash.
+    token_count warm_after = 150'000; ///< Tokens prefilled and decoded until the full capacity is reached.
+    duration restart_time = 3s;       ///< Time after a crash in which new work is refused.
+    std::uint64_t seed = 1;           ///< Seed of the choice of lost cache events.
 };
 
-/// What an engine is asked to complete.
+/// A completion request to an engine.
 struct completion_order
 {
-    std::string request_id;              ///< The caller's id.
-    std::uint64_t attempt = 0;           ///< Number of the try.
-    std::string model;                   ///< Must be loaded.
-    std::string adapter;                 ///< Must be loaded unless empty.
-    int priority = 0;                    ///< 0 is served first.
-    prompt_digest prompt;                ///< The prompt.
-    token_count max_tokens = 0;          ///< Longest answer.
-    token_count resume_offset = 0;       ///< Tokens of the answer that the caller has.
-    std::vector<std::string> kv_imports; ///< Spans imported here that cover a part of the prompt.
+    std::string request_id;              ///< Request id given by the caller.
+    std::uint64_t attempt = 0;           ///< Attempt number.
+    std::string model;                   ///< Model; must be loaded.
+    std::string adapter;                 ///< Adapter, empty for none; must be loaded.
+    int priority = 0;                    ///< Priority; lower values are served first.
+    prompt_digest prompt;                ///< Digest of the prompt.
+    token_count max_tokens = 0;          ///< Token limit of the answer.
+    token_count resume_offset = 0;       ///< Tokens of the answer that the caller has already received.
+    std::vector<std::string> kv_imports; ///< Imported spans that cover a part of the prompt.
 };
 
-/// Number of a stream or an export inside one engine.
+/// Identifies a stream or an export inside one engine.
 using work_id = std::uint64_t;
 
-/// What happens to a piece of work.
+/// An event of a stream or an export.
 struct engine_event
 {
     /// Kinds of events.
     enum class type
     {
-        token,    ///< One token of the answer.
-        end,      ///< The answer is whole or was cancelled.
-        exported, ///< A span is computed and held.
-        lost,     ///< The engine fell over and knows nothing of it any more.
+        token,    ///< A token of the answer was decoded.
+        end,      ///< The answer is complete or was cancelled.
+        exported, ///< The span is computed and held.
+        lost,     ///< The engine crashed and lost it.
     };
-    type kind = type::token; ///< What happened.
-    work_id work = 0;        ///< To which work.
-    token_count offset = 0;  ///< Of the token, or tokens in all at the end.
-    std::string text;        ///< Token's text, or finish reason.
+    type kind = type::token; ///< Kind of the event.
+    work_id work = 0;        ///< The stream or export.
+    token_count offset = 0;  ///< Offset of the token; at the end, the offset after the last token.
+    std::string text;        ///< Text of the token, finish reason, or name of the exported span.
 
     friend auto operator==(const engine_event&, const engine_event&) -> bool = default;
 };
 
-/// One piece of held memory.
+/// An entry of the memory held.
 struct held_entry
 {
-    std::string id;         ///< Request or span.
+    std::string id;         ///< Request id or span name.
     std::string kind;       ///< "stream" or "kv".
-    token_count tokens = 0; ///< Size.
+    token_count tokens = 0; ///< Size in tokens.
 
     friend auto operator==(const held_entry&, const held_entry&) -> bool = default;
 };
@@ -89,86 +91,87 @@
 /// A load report.
 struct engine_load
 {
-    instant taken{};                ///< When it was true.
-    token_count running = 0;        ///< Streams held.
-    token_count queued_prefill = 0; ///< Tokens that wait for prefill.
-    token_count memory_used = 0;    ///< Tokens held.
+    instant taken{};                ///< Sampling time.
+    token_count running = 0;        ///< Number of streams and exports held.
+    token_count queued_prefill = 0; ///< Tokens not yet prefilled.
+    token_count memory_used = 0;    ///< KV memory held, in tokens.
 };
 
-/// One line of the ledger: a stream that the engine accepted.
+/// Ledger entry of an accepted stream.
 struct run_entry
 {
-    std::string request_id;    ///< Whose.
-    std::uint64_t attempt = 0; ///< Which try.
+    std::string request_id;    ///< Request id.
+    std::uint64_t attempt = 0; ///< Attempt number.
     token_count prompt = 0;    ///< Tokens of the prompt.
-    token_count prefilled = 0; ///< Tokens that weren't cached or imported.
-    token_count decoded = 0;   ///< Tokens of the answer made here.
-    std::string outcome;       ///< running, stop, length, cancelled or lost.
+    token_count prefilled = 0; ///< Tokens to prefill, that is, neither cached nor imported.
+    token_count decoded = 0;   ///< Tokens of the answer decoded by this engine.
+    std::string outcome;       ///< "running", "stop", "length", "cancelled" or "lost".
 };
 
-/// A model engine as a calculation: continuous batching with chunked prefill, memory, cache, cold start. No
-/// clock and no socket: time comes in by `advance`.
+/// Simulation of a model engine: continuous batching with chunked prefill, KV memory, prefix cache and cold
+/// start. Uses neither clock nor sockets; `advance` sets the time.
 class engine_model
 {
 public:
     /// Starts at time 0.
     explicit engine_model(engine_settings settings);
 
-    /// Works up to `now`; what happened since.
+    /// Simulates up to `now` and returns the events since the previous call.
     [[nodiscard]] auto advance(instant now) -> std::vector<engine_event>;
-    /// When something happens next, if nothing comes in; nothing while idle.
+    /// Time of the next change without further input; nullopt while idle.
     [[nodiscard]] auto next_wake() const -> std::optional<instant>;
 
-    /// Takes a stream: 200 and its number, or the status of the refusal and 0. Call `advance` to the moment
-    /// first.
+    /// Submits a stream. Returns 200 and its id, or the HTTP status of the refusal and 0. Call `advance` with
+    /// the current time first.
     [[nodiscard]] auto submit(const completion_order& order) -> std::pair<unsigned, work_id>;
-    /// Ends all attempts of a request; whether something is still held for it.
+    /// Cancels all attempts of a request. Returns whether memory is still held for it.
     auto cancel(const std::string& request_id) -> bool;
-    /// The reader of a stream is gone: the stream runs on, and what it holds stays until it is cancelled.
+    /// Marks a stream as having lost its caller. It runs on and holds its memory until it is cancelled.
     void detach(work_id id);
 
-    /// Computes and holds a span; answered by an `exported` event.
+    /// Starts to prefill a span and holds it; an `exported` event reports completion. Returns 200 and the id,
+    /// or the HTTP status of the refusal and 0.
     [[nodiscard]] auto export_span(const std::string& request_id, const std::string& span, token_count tokens,
                                    int priority = 1) -> std::pair<unsigned, work_id>;
-    /// Takes a span from another engine; it takes a share of its size here, since the source keeps it.
+    /// Imports a span of another engine. Uses only a fraction of the span's size here, since the source keeps
+    /// it. Returns the HTTP status.
     [[nodiscard]] auto import_span(const std::string& span, token_count tokens) -> unsigned;
-    /// Lets a span go; idempotent.
+    /// Releases a span; idempotent.
     void release_span(const std::string& span);
 
-    /// Takes an order: status of the answer.
+    /// Submits a control order and returns the HTTP status.
     [[nodiscard]] auto give(const control_order& order) -> unsigned;
 
-    /// Loses everything and starts again, cold.
+    /// Simulates a crash: loses all work and memory, then restarts cold.
     void fall_over();
-    /// Becomes cold without a restart. What it holds runs on; new work beyond what it can carry makes it fall
-    /// over.
+    /// Makes the engine cold without a restart. Running work continues; new work beyond the cold capacity
+    /// makes it crash.
     void turn_cold();
 
-    /// Whether it answers at all.
+    /// Whether the engine accepts requests, that is, isn't restarting.
     [[nodiscard]] auto up() const -> bool { return now_ >= down_until_; }
-    /// Whether it carries less than its full load.
+    /// Whether the engine is below its full capacity after a cold start.
     [[nodiscard]] auto cold() const -> bool { return warmed_ < settings_.warm_after; }
-    /// Changes with each start.
+    /// Identifies the current start; changes with each restart.
     [[nodiscard]] auto start_id() const -> std::uint64_t { return start_id_; }
     /// What it serves.
     [[nodiscard]] auto control() const -> const engine_control& { return control_; }
     /// What it serves.
     [[nodiscard]] auto control() -> engine_control& { return control_; }
-    /// Time up to which it worked.
+    /// Simulated time.
     [[nodiscard]] auto now() const -> instant { return now_; }
-    /// Lagging load report.
+    /// Load report, which lags behind by at least `load_lag`.
     [[nodiscard]] auto reported_load() const -> const engine_load& { return reported_load_; }
-    /// Everything held now.
+    /// All memory held now, by stream and span.
     [[nodiscard]] auto held() const -> std::vector<held_entry>;
-    /// Tokens held now.
+    /// Memory held now, in tokens.
     [[nodiscard]] auto memory_used() const -> token_count;
-    /// Cache events that show by now, with a number above `after`.
+    /// Cache events visible by now with a sequence number above `after`.
     [[nodiscard]] auto cache_events(std::uint64_t after) const -> std::vector<block_event>;
-    /// Every stream it accepted, the last 20,000.
+    /// The latest 20,000 accepted streams.
     [[nodiscard]] auto runs() const -> const std::deque<run_entry>& { return runs_; }
-    /// How often it fell over from overload while cold.
+    /// Number of crashes from overload while cold.
     [[nodiscard]] auto falls() const -> std::uint64_t { return falls_; }
-    /// How it was set up.
     [[nodiscard]] auto settings() const -> const engine_settings& { return settings_; }
 
 private:
@@ -177,13 +180,13 @@
         completion_order order;
         std::string span; // set for an export
         token_count prefill_left = 0;
-        token_count context = 0; // tokens attended to when decoding
+        token_count context = 0; // tokens attended to in decoding
         token_count memory = 0;
         token_count next_offset = 0;
         token_count length = 0;
-        std::size_t run = 0; // number in the ledger, counted over all
+        std::size_t run = 0; // index in the ledger, dropped entries included
         bool detached = false;
-        bool ended = false; // detached, decoded to the end, still held
+        bool ended = false; // fully decoded, but detached and thus still held
     };
     void start_step();
     void finish_step(std::vector<engine_event>& out);
@@ -225,7 +228,7 @@
     std::uint64_t falls_ = 0;
     work_id last_work_ = 0;
     token_count warmed_ = 0;
-    std::vector<engine_event> waiting_events_; // for the next advance
+    std::vector<engine_event> waiting_events_; // returned by the next advance()
     engine_load reported_load_;
     engine_load sampled_load_;
     std::deque<run_entry> runs_;
--- a/tests/standins/engine_standin.cpp
+++ b/tests/standins/engine_standin.cpp
@@ -33,7 +33,7 @@
     [[nodiscard]] auto port() const -> std::uint16_t { return server_.port(); }
 
 private:
-    /// A stream or export that a caller waits for.
+    /// A stream or export whose caller is connected.
     struct open_work
     {
         http_exchange exchange;
@@ -201,8 +201,8 @@
         }
     }
 
-    /// The process is gone: nothing listens and all is lost. With `restart_ms` it comes back cold on its
-    /// port.
+    /// Simulates the death of the process: closes all connections and the listener, and loses all state.
+    /// Unless `restart_ms` is negative, it listens again on the same port after that time, cold.
     void die(std::int64_t restart_ms)
     {
         server_.http().close();
@@ -219,8 +219,8 @@
         });
     }
 
-    /// Works up to now, one step of the model after the other: a stream that is dropped within one step holds
-    /// its memory in the next, however late this thread runs.
+    /// Advances the model to now, one iteration at a time and delivering the events after each: a stream
+    /// dropped in one iteration is detached before the next, however late this thread runs.
     void catch_up()
     {
         const auto now = model_now();
--- a/tests/standins/engine_standin.h
+++ b/tests/standins/engine_standin.h
@@ -8,21 +8,21 @@
 
 namespace dragonflymill::standins {
 
-/// How an engine stand-in runs.
+/// Settings of an engine stand-in.
 struct engine_standin_settings
 {
-    std::string name = "engine"; ///< Shown in its ledger.
-    std::uint16_t port = 0;      ///< 0 takes a free one.
-    double time_scale = 1.0;     ///< Real time = the engine's time * this.
-    std::string weight_store;    ///< Address that models are loaded from; without one they are at hand.
-    engine_settings engine;      ///< The model of its work.
+    std::string name = "engine"; ///< Name in its ledger.
+    std::uint16_t port = 0;      ///< Listening port; 0 picks a free one.
+    double time_scale = 1.0;     ///< Real time per engine time.
+    std::string weight_store;    ///< Address to fetch models from; empty loads them without a fetch.
+    engine_settings engine;      ///< Speed and size of the engine.
 };
 
-/// A model engine behind HTTP, as docs/upstreams.md describes it, on a thread of its own.
+/// Stand-in of a model engine with the HTTP interface of docs/upstreams.md. Runs on its own thread.
 class engine_standin
 {
 public:
-    /// Starts listening.
+    /// Starts listening on 127.0.0.1.
     explicit engine_standin(const engine_standin_settings& settings);
     engine_standin(const engine_standin&) = delete;
     auto operator=(const engine_standin&) -> engine_standin& = delete;
--- a/tests/standins/gateway_error.cpp
+++ b/tests/standins/gateway_error.cpp
@@ -18,7 +18,7 @@
 auto error_of(unsigned status, std::string_view body, const std::string& failure) -> gateway_error
 {
     if (status == 0) {
-        // Nothing listens: not a byte of the request was sent.
+        // The connection was not established, so no byte of the request was sent.
         const bool not_sent = failure.rfind("connect", 0) == 0;
         return {"transport (" + failure + ")", not_sent, {}};
     }
--- a/tests/standins/gateway_error.h
+++ b/tests/standins/gateway_error.h
@@ -8,23 +8,23 @@
 
 namespace dragonflymill::standins {
 
-/// An error as a gateway tells it to its caller.
+/// An error that a caller receives from a gateway.
 struct gateway_error
 {
-    std::string code;       ///< "transport" if no gateway said anything.
-    bool ran_no = false;    ///< Whether it says that the request was not run.
-    duration retry_after{}; ///< When to come again.
+    std::string code;       ///< Error code; starts with "transport" if no gateway answered.
+    bool ran_no = false;    ///< Whether the request is known not to have run.
+    duration retry_after{}; ///< Delay before a retry; zero if none was given.
 
-    /// One line for the report.
+    /// Description for the report.
     [[nodiscard]] auto text() const -> std::string
     {
         return code + (ran_no ? ", not run" : ", may have run");
     }
 };
 
-/// Reads `{"error":{"code","ran","retry_after_ms"}}`.
+/// Parses `{"error":{"code","ran","retry_after_ms"}}`.
 [[nodiscard]] auto error_of(const boost::json::object& body) -> gateway_error;
-/// Reads an answer's body; an unreadable one is an error without a promise.
+/// The error of a response that isn't a success. If the body isn't a JSON object, the request may have run.
 [[nodiscard]] auto error_of(unsigned status, std::string_view body, const std::string& failure)
     -> gateway_error;
 
--- a/tests/standins/host_list_standin.h
+++ b/tests/standins/host_list_standin.h
@@ -7,19 +7,19 @@
 
 namespace dragonflymill::standins {
 
-/// How the host list's stand-in runs.
+/// Settings of the host list stand-in.
 struct host_list_standin_settings
 {
-    std::uint16_t port = 0; ///< 0 takes a free one.
-    duration lag = 1s;      ///< How late a change shows.
+    std::uint16_t port = 0; ///< Listening port; 0 picks a free one.
+    duration lag = 1s;      ///< Delay until a change is visible.
 };
 
-/// The platform's list of live and leaving hosts, which lags. The operator's side writes it by `POST
-/// /_operator/hosts` with one host; the state "gone" takes the host off the list.
+/// Stand-in of the platform's list of live and draining hosts; changes become visible after a lag. Operators
+/// change one host by `POST /_operator/hosts`; the state "gone" removes it from the list.
 class host_list_standin
 {
 public:
-    /// Starts listening.
+    /// Starts listening on 127.0.0.1.
     explicit host_list_standin(const host_list_standin_settings& settings);
     host_list_standin(const host_list_standin&) = delete;
     auto operator=(const host_list_standin&) -> host_list_standin& = delete;
--- a/tests/standins/http_client.cpp
+++ b/tests/standins/http_client.cpp
@@ -38,7 +38,7 @@
     return out + "\r\n";
 }
 
-/// A call under way; lives in its callbacks.
+/// A call in flight, kept alive by its pending callbacks.
 class running_call : public std::enable_shared_from_this<running_call>
 {
 public:
@@ -88,8 +88,8 @@
         stream_.socket().set_option(asio::ip::tcp::no_delay(true), ignored);
         head_ = head_of(*call_);
         const std::array<asio::const_buffer, 2> parts{asio::buffer(head_), asio::buffer(call_->body)};
-        // A server may answer and close before it read the whole body: what it said counts, not the failed
-        // write.
+        // Write errors are ignored: a server may respond and close before it has read the whole body, and its
+        // response is still to be read.
         asio::async_write(stream_, parts,
                           [self = shared_from_this()](const auto&, std::size_t) { self->read(); });
     }
--- a/tests/standins/http_server.h
+++ b/tests/standins/http_server.h
@@ -21,39 +21,39 @@
 /// A header or query field.
 using http_field = std::pair<std::string, std::string>;
 
-/// A request as a stand-in sees it.
+/// A received request.
 struct http_request
 {
-    std::string method;              ///< GET, POST...
-    std::string path;                ///< Path without the query.
-    std::vector<http_field> query;   ///< Fields of the query, percent-decoded.
-    std::vector<http_field> headers; ///< Header fields, names in lower case.
-    std::string body;                ///< The whole body.
+    std::string method;              ///< Request method.
+    std::string path;                ///< Path without the query string.
+    std::vector<http_field> query;   ///< Query fields, percent-decoded.
+    std::vector<http_field> headers; ///< Header fields; names in lower case.
+    std::string body;                ///< Request body.
 
-    /// Value of a header (name in lower case), empty if absent.
+    /// Value of a header field, empty if absent. `name` is in lower case.
     [[nodiscard]] auto header(std::string_view name) const -> std::string;
     /// Value of a query field, empty if absent.
     [[nodiscard]] auto parameter(std::string_view name) const -> std::string;
 };
 
-/// One request's way back to its caller. Calls after the connection closed do nothing.
+/// Sends the response to one request. After the connection has closed, sending does nothing.
 class http_exchange
 {
 public:
-    /// Belongs to the `number`-th request of a connection.
+    /// Responds to the `number`-th request of a connection.
     http_exchange(std::shared_ptr<http_session> session, std::uint64_t number);
 
-    /// Sends a whole answer.
+    /// Sends a complete response.
     void send(unsigned status, std::string_view body, const std::vector<http_field>& headers = {}) const;
-    /// Begins an answer of server-sent events.
+    /// Starts a chunked response with status 200, by default of server-sent events.
     void open_stream(std::string_view content_type = "text/event-stream") const;
-    /// Adds bytes to a stream.
+    /// Sends bytes as a chunk of the stream.
     void write(std::string_view data) const;
-    /// Ends a stream as whole.
+    /// Ends the stream normally.
     void end_stream() const;
-    /// Closes the connection in the middle, as a dying process does.
+    /// Closes the connection without ending the response, as a dying process does.
     void drop() const;
-    /// Called once if the caller's connection closes before the answer ended.
+    /// `callback` runs once if the connection closes before the response has ended.
     void on_closed(std::function<void()> callback) const;
 
 private:
@@ -61,29 +61,28 @@
     std::uint64_t number_;
 };
 
-/// A small HTTP/1.1 server on 127.0.0.1 with the faults of a network built in. Everything runs on the thread
-/// of its io_context.
+/// Small HTTP/1.1 server on 127.0.0.1 with injectable network faults. Runs on the thread of its io_context.
 class http_server
 {
 public:
-    /// Called for each request.
+    /// Handles a request.
     using handler = std::function<void(const http_request&, const http_exchange&)>;
 
-    /// Listens on `port`, or on a free one if it is 0.
+    /// Listens on `port`; 0 picks a free one.
     http_server(boost::asio::io_context& io, std::uint16_t port, handler handle);
     http_server(const http_server&) = delete;
     auto operator=(const http_server&) -> http_server& = delete;
     ~http_server();
 
-    /// The port it listens on; stays the same over `close` and `reopen`.
+    /// Listening port; kept across `close` and `reopen`.
     [[nodiscard]] auto port() const -> std::uint16_t;
-    /// Connections of now stay open but nothing is read or written on them again; new ones work.
+    /// Stops reading and writing on the present connections without closing them. New connections work.
     void silence();
-    /// Nothing is read or written until `length` has passed, then everything goes on.
+    /// Suspends request handling and writing on all connections for `length`.
     void pause(duration length);
-    /// Whether a pause is in force.
+    /// Whether the server is paused.
     [[nodiscard]] auto paused() const -> bool;
-    /// Closes the listening socket and every connection.
+    /// Closes the listening socket and all connections.
     void close();
     /// Listens again on the same port.
     void reopen();
--- a/tests/standins/http_session.cpp
+++ b/tests/standins/http_session.cpp
@@ -164,7 +164,7 @@
     handle_(to_http_request(parser_->release()), http_exchange(shared_from_this(), number_));
 }
 
-// A caller that leaves shows as end of file on a socket that nobody reads while the answer is made.
+// Keeps a read pending while the answer is made, since a disconnect of the caller only shows as end of file.
 void http_session::watch_for_close()
 {
     if (watching_) {
--- a/tests/standins/http_session.h
+++ b/tests/standins/http_session.h
@@ -11,11 +11,12 @@
 
 namespace dragonflymill::standins {
 
-/// One connection of an http_server: reads a request, waits for its answer, writes it, reads the next.
+/// One connection of an http_server. Requests are handled one after the other: the next one is read after the
+/// answer to the previous one.
 class http_session : public std::enable_shared_from_this<http_session>
 {
 public:
-    /// Told when the connection has closed.
+    /// Called when the connection has closed.
     using end_callback = std::function<void(const std::shared_ptr<http_session>&)>;
 
     /// Takes over an accepted socket.
@@ -23,13 +24,13 @@
 
     /// Reads the first request.
     void start();
-    /// Stops or continues all reading and writing.
+    /// Suspends or resumes handling of requests and writing.
     void hold(bool on);
-    /// Never reads or writes again, without closing.
+    /// Stops reading and writing for good; the connection stays open.
     void silence();
     /// Closes the connection at once.
     void close();
-    /// Closes the connection when all that was given to it is written.
+    /// Closes the connection after the queued bytes are written.
     void close_when_written();
 
     /// See http_exchange.
@@ -60,10 +61,10 @@
     end_callback ended_;
     boost::beast::flat_buffer buffer_;
     std::optional<parser> parser_;
-    std::string pending_; // bytes not yet given to the socket
-    std::string writing_; // bytes that the socket is writing
+    std::string pending_; // queued bytes
+    std::string writing_; // bytes of the write in progress
     std::function<void()> closed_callback_;
-    std::uint64_t number_ = 0; // of the request being answered
+    std::uint64_t number_ = 0; // of the latest request on this connection
     bool answering_ = false;
     bool watching_ = false;
     bool writing_now_ = false;
--- a/tests/standins/json_fields.h
+++ b/tests/standins/json_fields.h
@@ -8,16 +8,16 @@
 
 namespace dragonflymill::standins {
 
-/// The JSON object in `text`; nothing if it isn't one.
+/// Parses `text`; nullopt if it isn't a JSON object.
 [[nodiscard]] auto parse_object(std::string_view text) -> std::optional<boost::json::object>;
-/// A string member, empty if absent.
+/// Value of a string member; empty if absent or of another type.
 [[nodiscard]] auto text_field(const boost::json::object& object, std::string_view name) -> std::string;
-/// A whole-number member, `fallback` if absent.
+/// Value of an integer member; `fallback` if absent or not convertible.
 [[nodiscard]] auto number_field(const boost::json::object& object, std::string_view name,
                                 std::int64_t fallback = 0) -> std::int64_t;
-/// A boolean member, false if absent.
+/// Value of a boolean member; false if absent or of another type.
 [[nodiscard]] auto flag_field(const boost::json::object& object, std::string_view name) -> bool;
-/// The body of an error answer.
+/// Body of an error response.
 [[nodiscard]] auto error_body(std::string_view message) -> std::string;
 
 } // namespace dragonflymill::standins
--- a/tests/standins/load_plan.cpp
+++ b/tests/standins/load_plan.cpp
@@ -11,12 +11,13 @@
 namespace {
 
 constexpr int short_templates = 20;
-// The shortest answer that a stand-in model gives: short requests are then all of one length.
+// The minimum answer length of a stand-in engine, so that the answers to all short requests have equal
+// length.
 constexpr token_count short_answer = 16;
 constexpr token_count short_prompt_min = 1'000;
 constexpr token_count short_prompt_step = 150;
 
-/// A share of the mix whose prompts lie between two lengths.
+/// A share of the prompts and their range of lengths in tokens.
 struct length_band
 {
     double share;
@@ -40,7 +41,7 @@
     return length * number / std::max(1, count);
 }
 
-/// Lengths spread evenly on a logarithmic scale.
+/// Draws a length that is uniformly distributed on a logarithmic scale.
 auto draw_length(const length_band& band, random_source& random) -> token_count
 {
     const auto ratio = static_cast<double>(band.high) / static_cast<double>(band.low);
@@ -103,7 +104,7 @@
         item.at = evenly_spaced_time(number, size.requests, size.length);
         out.completions.push_back(item);
     }
-    // The longest prompt is there whatever was drawn, early enough to come to its end.
+    // Always includes the longest prompt, placed early so that it completes within the run.
     if (!out.completions.empty()) {
         auto& longest = out.completions[out.completions.size() / 8];
         longest.tokens = size.longest;
@@ -124,7 +125,7 @@
     std::string out(static_cast<std::size_t>(tokens) * bytes_per_token, ' ');
     std::uint64_t bits = 0;
     for (std::size_t i = 0; i < out.size(); ++i) {
-        // A word's letters and a space make one token.
+        // Each token is a space and a word of three letters.
         if (i % bytes_per_token != 0) {
             bits = bits == 0 ? random.next() : bits;
             out[i] = static_cast<char>('a' + (bits & letter_mask));
--- a/tests/standins/service_standin.cpp
+++ b/tests/standins/service_standin.cpp
@@ -55,7 +55,7 @@
         });
     }
 
-    /// The effect comes before the answer, so that a lost answer leaves an execution behind.
+    /// Counts the execution before answering, so that it also counts if the answer is lost.
     void execute(const http_request& request, const http_exchange& exchange)
     {
         const auto key = key_of(request);
@@ -65,7 +65,7 @@
             return;
         }
         if (hold_answers_) {
-            return; // it was executed, and nobody will be told
+            return; // executed, but never answered
         }
         const json::object body{{"service", settings_.name}, {"key", key}, {"execution", count}};
         exchange.send(std::exchange(next_status_, 200U), json::serialize(body));
--- a/tests/standins/service_standin.h
+++ b/tests/standins/service_standin.h
@@ -8,20 +8,21 @@
 
 namespace dragonflymill::standins {
 
-/// How a plain service's stand-in runs.
+/// Settings of a service stand-in.
 struct service_standin_settings
 {
-    std::string name = "service"; ///< Shown in its ledger and answers.
-    std::uint16_t port = 0;       ///< 0 takes a free one.
-    duration latency = 5ms;       ///< From the request to the execution and its answer.
+    std::string name = "service"; ///< Name in its ledger and answers.
+    std::uint16_t port = 0;       ///< Listening port; 0 picks a free one.
+    duration latency = 5ms;       ///< Time from receiving a request to executing and answering it.
 };
 
-/// A plain service, say for bookings. Each call that reaches it is executed, also with a key that it has
-/// seen: `GET /_ledger` tells how often, so that a doubled booking shows.
+/// Stand-in of a plain HTTP service, such as a booking service. It doesn't deduplicate: every request is
+/// executed, also one with a known idempotency key. `GET /_ledger` reports the executions by key, which
+/// reveals doubled bookings.
 class service_standin
 {
 public:
-    /// Starts listening.
+    /// Starts listening on 127.0.0.1.
     explicit service_standin(const service_standin_settings& settings);
     service_standin(const service_standin&) = delete;
     auto operator=(const service_standin&) -> service_standin& = delete;
--- a/tests/standins/standin_server.h
+++ b/tests/standins/standin_server.h
@@ -7,22 +7,22 @@
 
 namespace dragonflymill::standins {
 
-/// A stand-in's HTTP server on the one thread that the stand-in lives on. The owner declares it before
-/// whatever its handlers use and calls `stop` in its destructor: a handler that runs meanwhile would find
-/// that gone.
+/// HTTP server of a stand-in, with the thread that runs its handlers. The owner must declare it before the
+/// members that the handlers use, and call `stop` in its destructor: otherwise a handler could run while
+/// those members are being destroyed.
 class standin_server
 {
 public:
-    /// Listens on `port`, or on a free one if it is 0, and hands requests to `handle`.
+    /// Listens on `port` (0 picks a free one) and passes requests to `handle`.
     void start(std::uint16_t port, http_server::handler handle);
-    /// Closes all connections and ends the thread: no handler runs any more.
+    /// Closes all connections and joins the thread. No handler runs afterwards.
     void stop();
 
-    /// Where the stand-in's handlers run.
+    /// Context that runs the handlers.
     [[nodiscard]] auto io() -> boost::asio::io_context& { return thread_.io(); }
-    /// The port it listens on.
+    /// Listening port.
     [[nodiscard]] auto port() const -> std::uint16_t { return http_->port(); }
-    /// The server, for its faults; from handlers only.
+    /// The server, for injecting faults. Use it from handlers only.
     [[nodiscard]] auto http() -> http_server& { return *http_; }
 
 private:
--- a/tests/standins/standin_thread.h
+++ b/tests/standins/standin_thread.h
@@ -7,7 +7,7 @@
 
 namespace dragonflymill::standins {
 
-/// The one thread on which a stand-in lives, so that a paused or busy stand-in holds up no other.
+/// Thread of one stand-in. Each stand-in has its own, so that a paused or busy one doesn't block others.
 class standin_thread
 {
 public:
@@ -17,11 +17,12 @@
     auto operator=(const standin_thread&) -> standin_thread& = delete;
     ~standin_thread();
 
-    /// Where the stand-in's handlers run.
+    /// Context that runs the handlers.
     [[nodiscard]] auto io() -> boost::asio::io_context& { return io_; }
-    /// Runs `task` on the thread and waits for it.
+    /// Runs `task` on the thread and waits until it is done.
     void run(const std::function<void()>& task);
-    /// Ends the thread after the handler that it is in; what waits is dropped with the thread's context.
+    /// Joins the thread after the handler that is running. Pending handlers don't run; they are destroyed
+    /// with the context.
     void stop();
 
 private:
--- a/tests/standins/standins_main.cpp
+++ b/tests/standins/standins_main.cpp
@@ -18,7 +18,7 @@
 
 constexpr int usage_error = 2;
 
-/// The stand-ins of this process.
+/// All stand-ins of this process. Destroying it stops them.
 struct running_standins
 {
     std::vector<std::unique_ptr<standins::engine_standin>> engines;
@@ -68,7 +68,7 @@
     return port == 0 ? 0 : static_cast<std::uint16_t>(port + number);
 }
 
-/// One word of the command line: what to start and how many.
+/// One KIND argument of the command line.
 struct start_request
 {
     std::string kind;
@@ -189,7 +189,8 @@
 
 auto run(int argc, char** argv) -> int
 {
-    // Blocked before the first thread starts, so that every thread inherits it and only sigwait takes them.
+    // Blocks the signals before the first thread starts: all threads inherit the mask, and only sigwait
+    // receives them.
     sigset_t end_signals;
     sigemptyset(&end_signals);
     sigaddset(&end_signals, SIGTERM);
--- a/tests/standins/weight_store_standin.h
+++ b/tests/standins/weight_store_standin.h
@@ -7,20 +7,21 @@
 
 namespace dragonflymill::standins {
 
-/// How the weight store's stand-in runs.
+/// Settings of the weight store stand-in.
 struct weight_store_standin_settings
 {
-    std::uint16_t port = 0;         ///< 0 takes a free one.
-    std::int64_t loads_at_once = 2; ///< More loads than these at a time are refused.
-    duration load_time = 500ms;     ///< Of one load.
-    std::size_t size = 4UL << 20;   ///< Bytes of one model.
+    std::uint16_t port = 0;         ///< Listening port; 0 picks a free one.
+    std::int64_t loads_at_once = 2; ///< Concurrent loads; further ones are refused.
+    duration load_time = 500ms;     ///< Duration of one load.
+    std::size_t size = 4UL << 20;   ///< Size of one model in bytes.
 };
 
-/// The platform's weight store: a few loads at a time, the rest gets 429 with `Retry-After`.
+/// Stand-in of the platform's weight store. It serves a limited number of concurrent loads and answers the
+/// others with 429 and `Retry-After`.
 class weight_store_standin
 {
 public:
-    /// Starts listening.
+    /// Starts listening on 127.0.0.1.
     explicit weight_store_standin(const weight_store_standin_settings& settings);
     weight_store_standin(const weight_store_standin&) = delete;
     auto operator=(const weight_store_standin&) -> weight_store_standin& = delete;
--- a/tests/standins_self/demo_run_test.cpp
+++ b/tests/standins_self/demo_run_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A small demo against one gateway with a fault.
+/// Runs a small demo against one gateway with the given fault.
 auto results_with(gateway_fault fault) -> demo_results
 {
     const service_standin service({});
--- a/tests/standins_self/engine_model_test.cpp
+++ b/tests/standins_self/engine_model_test.cpp
@@ -31,7 +31,7 @@
     return out;
 }
 
-/// What a run of the model yields for one stream.
+/// Events of one stream, combined.
 struct stream_outcome
 {
     instant first_token{};
--- a/tests/standins_self/engine_standin_test.cpp
+++ b/tests/standins_self/engine_standin_test.cpp
@@ -66,9 +66,9 @@
     cr_assert(memory_used(address) == 0);
 }
 
-// A user of the stand-in sees its memory free after a dropped stream, now and then, on a busy machine.
-// The engine's thread runs late, so that the token that drops the stream and the end of its answer come in
-// one go. The drop was noted only when the connection had closed, behind the end.
+// Guards against a dropped stream whose memory is already released. If the engine's thread runs late, as on a
+// busy machine, the token that drops the stream and the end of the answer are delivered together. The stream
+// must be detached at the drop: detaching it when the connection has closed comes after its end.
 Test(engine_standin, dropped_stream_holds_memory_when_the_engine_thread_is_late)
 {
     auto settings = warm_settings();
--- a/tests/standins_self/fake_gateway.h
+++ b/tests/standins_self/fake_gateway.h
@@ -14,25 +14,25 @@
 
 namespace dragonflymill::standins {
 
-/// Ways in which a gateway can fail its callers.
+/// Faults of a fake gateway.
 enum class gateway_fault
 {
-    none,             ///< It works.
-    refuses_first,    ///< Its first request is refused as not run.
-    refuses_for_long, ///< Its first request is refused with a retry time beyond any patience.
-    cuts_a_stream,    ///< Its first stream ends without an end.
-    skips_a_token,    ///< Its first stream has a hole.
-    error_in_stream,  ///< Its first stream ends with an error.
-    books_twice,      ///< It sends every booking twice.
-    confirms_nothing, ///< It confirms bookings without making them.
+    none,             ///< No fault.
+    refuses_first,    ///< Refuses the first request as not run, with a short retry time.
+    refuses_for_long, ///< Refuses the first request with a retry time beyond the callers' retry limit.
+    cuts_a_stream,    ///< Closes the connection of the first stream before its end event.
+    skips_a_token,    ///< Omits the first token of the first stream.
+    error_in_stream,  ///< Ends the first stream with an error event.
+    books_twice,      ///< Forwards every booking, ignoring the idempotency key.
+    confirms_nothing, ///< Confirms bookings without forwarding them.
 };
 
-/// A gateway without anything behind it but one plain service, to see whether the demo notices what goes
-/// wrong.
+/// A gateway with injectable faults, for testing that the demo detects them. Answers completions itself and
+/// forwards bookings to one plain service.
 class fake_gateway
 {
 public:
-    /// Passes bookings on to `service`.
+    /// Forwards bookings to the address `service`.
     fake_gateway(std::string service, gateway_fault fault)
         : service_(std::move(service))
         , fault_(fault)
@@ -95,7 +95,7 @@
         exchange.end_stream();
     }
 
-    /// A booking is made once for each key, unless the fault says otherwise.
+    /// Forwards a booking once per idempotency key, unless the fault says otherwise.
     void book(const http_request& request, const http_exchange& exchange)
     {
         const bool again = !keys_.insert(request.header("idempotency-key")).second;
