--- a/tests/standins/completion_caller.h
+++ b/tests/standins/completion_caller.h
@@ -13,9 +13,8 @@
 /// Context shared by the callers of the demo.
 struct caller_surroundings
 {
-    boost::asio::io_context& io; ///< Runs all callers.
-    std::function<std::string()>
-        next_gateway; ///< Address for the next request, as a load balancer would choose it.
+    boost::asio::io_context& io;                       ///< Runs all callers.
+    std::function<std::string()> next_gateway;         ///< Chooses the address for the next request.
     std::function<void(const gateway_error&)> refused; ///< Called for each refusal.
     duration patience = 15s;   ///< Time since the first attempt in which refusals are retried.
     duration time_limit = 40s; ///< Timeout of one attempt.
--- a/tests/standins/engine_model.cpp
+++ b/tests/standins/engine_model.cpp
@@ -15,7 +15,7 @@
 constexpr unsigned overloaded = 503;
 
 constexpr std::size_t max_runs = 20'000;
-// The memory of an imported span stays at its source; the importing engine uses 1/64 of its size.
+// The memory of an imported span stays at its source; the importing engine uses only a fraction of its size.
 constexpr token_count import_memory_divisor = 64;
 // Factor on the prefill time of a cold engine.
 constexpr double cold_prefill_slowdown = 3.0;
--- a/tests/standins/engine_model.h
+++ b/tests/standins/engine_model.h
@@ -26,17 +26,14 @@
     std::size_t stream_limit = 96;        ///< Maximum streams and exports held; further streams are refused.
     duration step_base = 18ms;            ///< Base duration of an iteration.
     duration step_per_stream = 300us;     ///< Additional duration for each decoding stream.
-    duration step_per_100k_context =
-        1'500us; ///< Additional duration for each 100,000 tokens of decoding context.
-    duration load_lag =
-        200ms; ///< Minimum time between samples of the load; a report shows the sample before the latest.
-    duration event_lag = 500ms; ///< Delay until a cache event is visible.
-    double event_loss = 0.02;   ///< Fraction of cache events that are lost.
-    duration order_time = 2s;   ///< Time to load a model; an adapter takes a tenth of it.
-    bool honours_fence = true;  ///< Whether orders with a stale fencing number are refused.
-    bool starts_cold = true;    ///< Whether the first start is cold like every restart.
-    token_count cold_tokens =
-        60'000; ///< Memory capacity at the beginning of a cold start, in tokens; more makes the engine crash.
+    duration step_per_100k_context = 1'500us; ///< Added per 100,000 tokens of decoding context.
+    duration load_lag = 200ms;        ///< Minimum interval of load samples; the latest isn't reported.
+    duration event_lag = 500ms;       ///< Delay until a cache event is visible.
+    double event_loss = 0.02;         ///< Fraction of cache events that are lost.
+    duration order_time = 2s;         ///< Time to load a model; an adapter takes a tenth of it.
+    bool honours_fence = true;        ///< Whether orders with a stale fencing number are refused.
+    bool starts_cold = true;          ///< Whether the first start is cold like every restart.
+    token_count cold_tokens = 60'000; ///< Memory capacity at a cold start; above it, the engine crashes.
     token_count warm_after = 150'000; ///< Tokens prefilled and decoded until the full capacity is reached.
     duration restart_time = 3s;       ///< Time after a crash in which new work is refused.
     std::uint64_t seed = 1;           ///< Seed of the choice of lost cache events.
--- a/tests/standins/load_plan.h
+++ b/tests/standins/load_plan.h
@@ -41,9 +41,8 @@
 /// A booking, sent twice through different gateways.
 struct planned_booking
 {
-    duration at{}; ///< Send time since the start of the mix.
-    duration
-        again_after{}; ///< Delay of the second attempt, which is sent whether the first is answered or not.
+    duration at{};          ///< Send time since the start of the mix.
+    duration again_after{}; ///< Delay of the second attempt; independent of the first answer.
     std::uint64_t seed = 0; ///< Seed of the random bits of the idempotency key.
 
     friend auto operator==(const planned_booking&, const planned_booking&) -> bool = default;
