--- a/tests/bench/heartbeat_bench.cpp
+++ b/tests/bench/heartbeat_bench.cpp
@@ -20,8 +20,8 @@
 namespace {
 
 constexpr duration tick_interval = 10ms;
-constexpr duration settling = 3s;
-constexpr duration measured = 10s;
+constexpr duration settling_time = 3s;
+constexpr duration measurement_time = 10s;
 /// IPv4 and TCP headers with time stamps, for each segment; as much again for an acknowledgement of its own.
 constexpr double header_bytes = 52;
 
@@ -57,7 +57,7 @@
             upstream_entry upstream;
             upstream.id = upstream_id("engine-" + std::to_string(i));
             upstream.sidecar_address = address;
-            const auto sink = [this](link_event event) { note(std::move(event)); };
+            const auto sink = [this](link_event event) { record(std::move(event)); };
             links_.emplace(upstream.id, std::make_unique<gateway::sidecar_link>(
                                             runtime::now(), upstream, process_id("gateway-entry-17"),
                                             heartbeat_options{}, sink, calls_));
@@ -71,7 +71,7 @@
     gateway_links(const gateway_links&) = delete;
     auto operator=(const gateway_links&) -> gateway_links& = delete;
 
-    void put_work()
+    void open_attempts()
     {
         std::uint64_t number = 0;
         for (auto& [id, link] : links_) {
@@ -99,7 +99,7 @@
 private:
     using link_event = gateway::link_event;
 
-    void note(link_event event)
+    void record(link_event event)
     {
         if (const auto* answer = std::get_if<gateway::heartbeat_answered>(&event)) {
             const std::lock_guard lock(mutex_);
@@ -126,27 +126,27 @@
     counting_relay relay(port);
     {
         gateway_links links(count, relay.address());
-        links.run(settling);
+        links.run(settling_time);
         if (work) {
-            links.put_work();
+            links.open_attempts();
             links.run(1s);
         }
         const auto up = relay.up.bytes.load();
         const auto up_pieces = relay.up.pieces.load();
         const auto down = relay.down.bytes.load();
         const auto down_pieces = relay.down.pieces.load();
-        links.run(measured);
-        const auto seconds = static_cast<double>(measured.count()) / 1e6;
+        links.run(measurement_time);
+        const auto seconds = static_cast<double>(measurement_time.count()) / 1e6;
         const auto rate = [&](std::uint64_t now, std::uint64_t before) {
             return static_cast<double>(now - before) / seconds;
         };
         const auto sent = rate(relay.up.bytes, up);
-        const auto got = rate(relay.down.bytes, down);
+        const auto received = rate(relay.down.bytes, down);
         const auto sent_pieces = rate(relay.up.pieces, up_pieces);
-        const auto got_pieces = rate(relay.down.pieces, down_pieces);
-        std::printf("| %s | %zu | %.0f | %.0f | %.1f | %.1f | %.0f | %.0f |\n", what, count, sent, got,
-                    sent_pieces, got_pieces, sent + header_bytes * (sent_pieces + got_pieces),
-                    got + header_bytes * (sent_pieces + got_pieces));
+        const auto received_pieces = rate(relay.down.pieces, down_pieces);
+        std::printf("| %s | %zu | %.0f | %.0f | %.1f | %.1f | %.0f | %.0f |\n", what, count, sent, received,
+                    sent_pieces, received_pieces, sent + header_bytes * (sent_pieces + received_pieces),
+                    received + header_bytes * (sent_pieces + received_pieces));
         std::fflush(stdout);
     }
     server->Shutdown(std::chrono::system_clock::now());
--- a/tests/bench/sidecar_once_bench.cpp
+++ b/tests/bench/sidecar_once_bench.cpp
@@ -1,5 +1,5 @@
-// Calls that may not be repeated: how many bookings a restarted home answers with `unknown`, for how long,
-// and how many calls are remembered in a megabyte. The first table is on a virtual clock and repeats to the
+// Calls that may not be repeated: kind many bookings a restarted home answers with `unknown`, for kind long,
+// and kind many calls are remembered in a megabyte. The first table is on a virtual clock and repeats to the
 // digit.
 
 #include "once/once_fixture.h"
@@ -16,9 +16,9 @@
 /// Bookings a second at one home; the interval between two of them.
 constexpr duration between_bookings = 100ms;
 /// Time from the making of a key to its arrival.
-constexpr duration on_the_way = 50ms;
+constexpr duration transit_time = 50ms;
 
-enum class naming
+enum class key_kind
 {
     ticket,
     timed_key,
@@ -32,21 +32,21 @@
     duration last_unknown{0};
 };
 
-auto name_of(naming how) -> const char*
+auto name_of(key_kind kind) -> const char*
 {
-    switch (how) {
-    case naming::ticket:
+    switch (kind) {
+    case key_kind::ticket:
         return "ticket";
-    case naming::timed_key:
+    case key_kind::timed_key:
         return "key with a time (UUID version 7)";
-    case naming::plain_key:
+    case key_kind::plain_key:
         return "key without a time";
     }
     return "";
 }
 
 /// A home restarts at the start of the clock; callers know nothing of it and send new bookings.
-auto after_restart(naming how, duration predecessor_lease, duration clock_skew, duration remember_for)
+auto after_restart(key_kind kind, duration predecessor_lease, duration clock_skew, duration remember_for)
     -> restart_outcome
 {
     once_ledger_options options = ledger_options(2);
@@ -57,36 +57,36 @@
     once_ledger ledger(options);
     restart_outcome outcome;
     std::uint32_t number = 0;
-    for (duration t = on_the_way; t < 1'200s; t += between_bookings) {
+    for (duration t = transit_time; t < 1'200s; t += between_bookings) {
         ledger.renew_own_lease(t < predecessor_lease ? instant::min() : at(t + 3s));
         ++number;
         once_call call = by_key("order-" + std::to_string(number));
-        if (how == naming::ticket) {
+        if (kind == key_kind::ticket) {
             call = by_ticket(mint(ledger, at(t)));
         }
-        else if (how == naming::timed_key) {
-            call = by_key(timed_key(t - on_the_way, number));
+        else if (kind == key_kind::timed_key) {
+            call = by_key(timed_key(t - transit_time, number));
         }
         call.owner.remember_for = remember_for;
-        const once_outcome said = ledger.submit(at(t), call);
+        const once_outcome result = ledger.submit(at(t), call);
         ++outcome.arrived;
-        if (std::holds_alternative<once_unknown>(said)) {
+        if (std::holds_alternative<once_unknown>(result)) {
             ++outcome.unknown;
             outcome.last_unknown = t;
         }
         else {
-            static_cast<void>(ledger.sending(at(t), run_serial(said)));
-            ledger.answered(at(t), run_serial(said), {201, "application/json", "{}", true});
+            static_cast<void>(ledger.sending(at(t), run_serial(result)));
+            ledger.answered(at(t), run_serial(result), {201, "application/json", "{}", true});
         }
     }
     return outcome;
 }
 
-void print_restart(naming how, duration predecessor_lease, duration clock_skew, duration remember_for)
+void print_restart(key_kind kind, duration predecessor_lease, duration clock_skew, duration remember_for)
 {
-    const restart_outcome outcome = after_restart(how, predecessor_lease, clock_skew, remember_for);
+    const restart_outcome outcome = after_restart(kind, predecessor_lease, clock_skew, remember_for);
     const auto seconds = [](duration value) { return std::chrono::duration<double>(value).count(); };
-    std::printf("| %s | %.0f | %.0f | %.0f | %llu | %llu | %.1f |\n", name_of(how),
+    std::printf("| %s | %.0f | %.0f | %.0f | %llu | %llu | %.1f |\n", name_of(kind),
                 seconds(predecessor_lease), seconds(clock_skew), seconds(remember_for),
                 static_cast<unsigned long long>(outcome.arrived),
                 static_cast<unsigned long long>(outcome.unknown), seconds(outcome.last_unknown));
@@ -123,12 +123,12 @@
     std::printf(
         "| named by | predecessor's lease (s) | clock skew (s) | remembered for (s) | arrived | answered "
         "unknown | last one after (s) |\n|---|---|---|---|---|---|---|\n");
-    print_restart(naming::ticket, 10s, 5s, 600s);
-    print_restart(naming::timed_key, 10s, 5s, 600s);
-    print_restart(naming::timed_key, 4s, 5s, 600s);
-    print_restart(naming::timed_key, 4s, 1s, 600s);
-    print_restart(naming::plain_key, 10s, 5s, 600s);
-    print_restart(naming::plain_key, 4s, 5s, 120s);
+    print_restart(key_kind::ticket, 10s, 5s, 600s);
+    print_restart(key_kind::timed_key, 10s, 5s, 600s);
+    print_restart(key_kind::timed_key, 4s, 5s, 600s);
+    print_restart(key_kind::timed_key, 4s, 1s, 600s);
+    print_restart(key_kind::plain_key, 10s, 5s, 600s);
+    print_restart(key_kind::plain_key, 4s, 5s, 120s);
     std::printf("\nMemory of answered calls named by key.\n\n");
     std::printf("| body (bytes) | allocated a call | accounted a call | calls a MiB allocated | calls a MiB "
                 "accounted |\n|---|---|---|---|---|\n");
--- a/tests/fuzz/decoder_fuzz.cpp
+++ b/tests/fuzz/decoder_fuzz.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 // What was read must be written the same way again: two spellings of one thing would have two digests.
-void read_bundle(const std::string& text)
+void check_bundle_round_trip(const std::string& text)
 {
     const auto reading = read_bundle_source(text);
     if (reading.mistakes.empty()) {
@@ -24,7 +24,7 @@
     }
 }
 
-void read_manifest(const std::string& text)
+void check_manifest(const std::string& text)
 {
     const auto read = decode_signed_manifest(text);
     if (read.has_value()) {
@@ -35,7 +35,7 @@
 }
 
 // A process that knows the key may still send anything: no content may break an invariant.
-void read_datagram(const std::string& bytes)
+void check_datagram(const std::string& bytes)
 {
     const auto read = decode_datagram(bytes);
     if (read.has_error()) {
@@ -69,13 +69,13 @@
     const std::string text(reinterpret_cast<const char*>(data) + 1, size - 1);
     switch (data[0] % 3) {
     case 0:
-        read_bundle(text);
+        check_bundle_round_trip(text);
         break;
     case 1:
-        read_manifest(text);
+        check_manifest(text);
         break;
     default:
-        read_datagram(text);
+        check_datagram(text);
         break;
     }
     return 0;
--- a/tests/process/booking_faults_test.cpp
+++ b/tests/process/booking_faults_test.cpp
@@ -25,7 +25,7 @@
     std::unique_ptr<background_call> call_;
 };
 
-auto says(const standins::http_answer& answer, const std::string& what) -> bool
+auto body_contains(const standins::http_answer& answer, const std::string& what) -> bool
 {
     return answer.body.find(what) != std::string::npos;
 }
@@ -40,14 +40,14 @@
     process_fleet fleet;
     unanswered_booking first(fleet);
     fleet.kill("sidecar-booking-1");
-    cr_assert(says(first.answer(), R"("ran":"unknown")"), "%s", first.answer().body.c_str());
+    cr_assert(body_contains(first.answer(), R"("ran":"unknown")"), "%s", first.answer().body.c_str());
     fleet.fault("booking-1", R"({"hold_answers":false})");
     fleet.start_sidecar("booking-1");
     const auto retry = [&] { return standins::call_and_wait(fleet.booking("gateway-2", first.key())); };
-    cr_assert(comes_true([&] { return says(retry(), R"("ran":"unknown")"); }));
+    cr_assert(comes_true([&] { return body_contains(retry(), R"("ran":"unknown")"); }));
     fleet.wait_until_keys_run();
-    const auto told = retry();
-    cr_assert(says(told, R"("ran":"unknown")"), "%s", told.body.c_str());
+    const auto response = retry();
+    cr_assert(body_contains(response, R"("ran":"unknown")"), "%s", response.body.c_str());
     cr_assert(fleet.executions(first.key()) == 1);
 }
 
@@ -80,8 +80,8 @@
     background_call first(fleet.booking("gateway-1", key));
     cr_assert(comes_true([&] { return fleet.waiting("booking-1") == 1; }));
     fleet.kill("gateway-1");
-    const auto told = standins::call_and_wait(fleet.booking("gateway-2", key));
-    cr_assert(told.status == 200, "%u %s", told.status, told.body.c_str());
-    cr_assert(says(told, R"(execution":1)"), "%s", told.body.c_str());
+    const auto response = standins::call_and_wait(fleet.booking("gateway-2", key));
+    cr_assert(response.status == 200, "%u %s", response.status, response.body.c_str());
+    cr_assert(body_contains(response, R"(execution":1)"), "%s", response.body.c_str());
     cr_assert(fleet.executions(key) == 1);
 }
--- a/tests/process/caller_faults_test.cpp
+++ b/tests/process/caller_faults_test.cpp
@@ -78,10 +78,10 @@
     const auto refused = caller.read_to_end();
     cr_assert(refused.empty() || refused.find(" 400 ") != std::string::npos, "%s", refused.c_str());
     cr_assert(standins::call_and_wait(fleet.call("gateway-1", "/v1/completions", "{")).status == 400);
-    auto stranger = fleet.completion("gateway-1", 100, 4);
-    stranger.headers.front().second = "Bearer nobody";
-    const auto told = standins::call_and_wait(stranger);
-    cr_assert(told.status == 401, "%u %s", told.status, told.body.c_str());
-    cr_assert(told.body.find(R"("ran":"no")") != std::string::npos, "%s", told.body.c_str());
+    auto unauthorized = fleet.completion("gateway-1", 100, 4);
+    unauthorized.headers.front().second = "Bearer nobody";
+    const auto response = standins::call_and_wait(unauthorized);
+    cr_assert(response.status == 401, "%u %s", response.status, response.body.c_str());
+    cr_assert(response.body.find(R"("ran":"no")") != std::string::npos, "%s", response.body.c_str());
     cr_assert(is_whole_answer(standins::call_and_wait(fleet.completion("gateway-1", 100, 4)), 100, 4));
 }
--- a/tests/process/config_faults_test.cpp
+++ b/tests/process/config_faults_test.cpp
@@ -8,11 +8,11 @@
 
 /// Watches a process that was killed and started again: it must not say at any moment that it runs by an
 /// older bundle.
-auto comes_back_by(const process_fleet& fleet, const std::string& name, std::int64_t version) -> bool
+auto restarts_with_bundle(const process_fleet& fleet, const std::string& name, std::int64_t version) -> bool
 {
     std::int64_t seen = 0;
-    const bool back = comes_true([&] { return (seen = fleet.bundle_of(name)) != 0; });
-    return back && seen == version && fleet.bundle_of(name) == version;
+    const bool ready = comes_true([&] { return (seen = fleet.bundle_of(name)) != 0; });
+    return ready && seen == version && fleet.bundle_of(name) == version;
 }
 
 } // namespace
@@ -34,10 +34,10 @@
     fleet.files().ask_peers_at_start();
     fleet.kill("gateway-2");
     fleet.start_gateway("gateway-2");
-    cr_assert(comes_back_by(fleet, "gateway-2", 2));
+    cr_assert(restarts_with_bundle(fleet, "gateway-2", 2));
     fleet.kill("sidecar-engine-1");
     fleet.start_sidecar("engine-1");
-    cr_assert(comes_back_by(fleet, "engine-1", 2));
+    cr_assert(restarts_with_bundle(fleet, "engine-1", 2));
     cr_assert(fleet.all_run_by(2));
     cr_assert(is_whole_answer(standins::call_and_wait(fleet.completion("gateway-2", 100, 4)), 100, 4));
 }
--- a/tests/soak/soak_upstream.cpp
+++ b/tests/soak/soak_upstream.cpp
@@ -20,8 +20,8 @@
 
 void send(taken_connection& call, const std::string& bytes)
 {
-    boost::system::error_code gone; // the gateway was killed or has cancelled
-    boost::asio::write(call.socket, boost::asio::buffer(bytes), gone);
+    boost::system::error_code ignored; // the gateway was killed or has cancelled
+    boost::asio::write(call.socket, boost::asio::buffer(bytes), ignored);
 }
 
 auto event(const std::string& request, int id) -> std::string
--- a/tests/soak/soak_world.cpp
+++ b/tests/soak/soak_world.cpp
@@ -57,20 +57,20 @@
                               [self = shared_from_this(), &gateway](const boost::system::error_code& failed) {
                                   if (!failed) {
                                       gateway.up = true;
-                                      self->ask();
+                                      self->send_request();
                                   }
                               });
     }
 
 private:
-    void ask()
+    void send_request()
     {
         const std::string path = is_stream_ ? "/chat/" : "/book/";
-        boost::system::error_code gone; // the gateway was killed
+        boost::system::error_code ignored; // the gateway was killed
         const std::string text = "POST " + path + "x HTTP/1.1\r\nHost: h.example\r\nConnection: close\r\n" +
                                  "Dragonflymill-Attempt-Id: " + request_ +
                                  "\r\nDragonflymill-Request-Deadline: 4000\r\nContent-Length: 2\r\n\r\nhi";
-        boost::asio::write(socket_, boost::asio::buffer(text), gone);
+        boost::asio::write(socket_, boost::asio::buffer(text), ignored);
         read();
     }
 
