--- a/tests/process/background_call.h
+++ b/tests/process/background_call.h
@@ -10,11 +10,11 @@
 
 namespace dragonflymill::test {
 
-/// A streamed or plain call that runs on a thread of its own.
+/// An HTTP call, streamed or not, that runs on its own thread.
 class background_call
 {
 public:
-    /// Sends the call at once.
+    /// Sends the call immediately.
     explicit background_call(standins::http_call call)
         : thread_([this, call = std::make_shared<const standins::http_call>(std::move(call))] { run(call); })
     {
@@ -23,9 +23,9 @@
     auto operator=(const background_call&) -> background_call& = delete;
     ~background_call() { join(); }
 
-    /// Bytes of the answer's body so far.
+    /// Bytes of the response body received so far.
     [[nodiscard]] auto received() const -> std::size_t { return received_; }
-    /// Waits for the answer, at most until the call's own time limit.
+    /// Waits for the response, at most until the call's own timeout.
     [[nodiscard]] auto answer() -> const standins::http_answer&
     {
         join();
@@ -54,7 +54,7 @@
 
     standins::http_answer answer_;
     std::atomic<std::size_t> received_ = 0;
-    std::thread thread_; // last: it uses the others
+    std::thread thread_; // last: the thread uses the other members
 };
 
 } // namespace dragonflymill::test
--- a/tests/process/booking_faults_test.cpp
+++ b/tests/process/booking_faults_test.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// A booking that the service has executed and whose answer nobody has yet.
+/// A booking that the service has executed and whose response it holds back.
 class unanswered_booking
 {
 public:
@@ -34,9 +34,10 @@
 
 FAULT_CELL_MORE(ticket_answer, process_dies, sidecar_killed)
 {
-    // The service has executed a booking, and its sidecar is killed before the answer. The caller must not
-    // hear that it didn't run. Its retry through the other gateway meets a sidecar that remembers nothing: it
-    // must not run the key again, also when the successor runs keys that are new.
+    // The sidecar is killed after the service has executed a booking and before the response. The response to
+    // the caller must not state that the booking was not executed. A retry through the other gateway reaches
+    // a restarted sidecar without a ledger, which must not execute the key again, even once it executes new
+    // keys.
     process_fleet fleet;
     unanswered_booking first(fleet);
     fleet.kill("sidecar-booking-1");
@@ -53,15 +54,15 @@
 
 FAULT_CELL_MORE(ticket_send, process_dies, gateway_killed)
 {
-    // The gateway dies with a booking in its hands that the service has executed. The caller can't know, and
-    // sends it again, with its key, through the other gateway. That try joins the first one: it is never
-    // executed again.
+    // The gateway dies with a booking in flight that the service has already executed. The caller retries
+    // with the same idempotency key through the other gateway. The retry must join the first attempt and
+    // never execute the booking again.
     process_fleet fleet;
     unanswered_booking first(fleet);
     fleet.kill("gateway-1");
     cr_assert(!first.answer().failure.empty());
     fleet.fault("booking-1", R"({"hold_answers":false})");
-    for (int tries = 0; tries < 3; ++tries) {
+    for (int attempt = 0; attempt < 3; ++attempt) {
         auto retry = fleet.booking("gateway-2", first.key());
         retry.time_limit = 1s;
         (void)standins::call_and_wait(retry);
@@ -71,8 +72,8 @@
 
 FAULT_CELL_MORE(ticket_send, process_dies, gateway_killed_before_run)
 {
-    // The gateway dies while the service works at a booking. The retry through the other gateway gets the
-    // answer of the one execution.
+    // The gateway dies while the service executes a booking. A retry through the other gateway must get the
+    // response of that single execution.
     process_fleet fleet;
     fleet.wait_until_keys_run();
     const auto key = process_fleet::new_key(2);
--- a/tests/process/caller_faults_test.cpp
+++ b/tests/process/caller_faults_test.cpp
@@ -14,7 +14,7 @@
 
 using boost::asio::ip::tcp;
 
-/// A caller that doesn't speak as it should.
+/// A caller that sends raw bytes, to violate HTTP on purpose.
 class raw_caller
 {
 public:
@@ -43,7 +43,7 @@
 
 FAULT_CELL_MORE(request_intake, message_lost, slow_caller)
 {
-    // A caller sends half a header and then nothing. Others are served meanwhile.
+    // A caller that sends half a request head and then stalls must not block other callers.
     process_fleet fleet;
     raw_caller slow(fleet.gateway("gateway-1"));
     slow.send("POST /v1/completions HTTP/1.1\r\nHost: a\r\nContent-Le");
@@ -52,8 +52,8 @@
 
 FAULT_CELL_MORE(request_intake, message_lost, half_closed_caller)
 {
-    // A caller closes its sending half behind its request, as some tools do. It gets an answer or an end, the
-    // engines hold nothing afterwards, and others are served.
+    // Some clients shut down their sending half after the request. Such a caller must get a response or a
+    // closed connection, the engines must release its call, and other callers must be served.
     process_fleet fleet;
     raw_caller caller(fleet.gateway("gateway-1"));
     const auto call = fleet.completion("gateway-1", 100, 4);
@@ -70,8 +70,8 @@
 
 FAULT_CELL_MORE(request_intake, message_reordered, malformed_and_wrong_key)
 {
-    // Bytes that are no HTTP, a body that is no JSON, and a key that nobody has: each is refused as such, and
-    // reaches no engine.
+    // Bytes that are not HTTP, a body that is not JSON, and an unknown API key must each be refused with the
+    // matching status before they reach an engine, and the gateway must still serve valid calls.
     process_fleet fleet;
     raw_caller caller(fleet.gateway("gateway-1"));
     caller.send("\x16\x03\x01 no request at all\r\n\r\n");
--- a/tests/process/cold_faults_test.cpp
+++ b/tests/process/cold_faults_test.cpp
@@ -6,16 +6,16 @@
 
 FAULT_CELL_MORE(request_stream, upstream_cold, engine_back_cold)
 {
-    // An engine goes in the middle of an answer and comes back, cold and with nothing in its memory. The
-    // caller has its whole answer. Its sidecar lets it serve again, within what a cold engine carries: with
-    // the other engine's sidecar gone, callers are answered through both gateways, and the engine doesn't
-    // fall over.
+    // An engine crashes in the middle of a stream and restarts cold, with an empty cache. The caller must get
+    // the complete response. The sidecar must admit calls again, within the capacity of a cold engine: with
+    // the other engine's sidecar killed, calls through both gateways are answered and the engine is not
+    // overloaded.
     process_fleet fleet;
     running_stream stream(fleet);
     stream.wait_until_read();
     fleet.fault(stream.engine(), R"({"die":true,"restart_ms":200})");
     cr_assert(stream.is_whole());
-    cr_assert(fleet.nothing_is_held(), "both engines answer and are empty");
+    cr_assert(fleet.nothing_is_held(), "an engine still holds calls or does not answer");
     fleet.kill(stream.engine() == "engine-1" ? "sidecar-engine-2" : "sidecar-engine-1");
     for (const std::string gateway : {"gateway-1", "gateway-2"}) {
         cr_assert(comes_true([&] {
--- a/tests/process/config_faults_test.cpp
+++ b/tests/process/config_faults_test.cpp
@@ -6,8 +6,7 @@
 
 namespace {
 
-/// Watches a process that was killed and started again: it must not say at any moment that it runs by an
-/// older bundle.
+/// Whether a restarted process reports `version` as its first bundle in force, and still does afterwards.
 auto restarts_with_bundle(const process_fleet& fleet, const std::string& name, std::int64_t version) -> bool
 {
     std::int64_t seen = 0;
@@ -19,9 +18,9 @@
 
 FAULT_CELL_MORE(bundle_spread, two_faults, service_down_then_stale)
 {
-    // The configuration service is down when both partners need a change at once; an operator pushes it to
-    // one gateway. The service comes back and shows what it had before. Then a gateway and a sidecar are
-    // killed and start with nothing but the old bundle's file: nobody may ever serve by the old one again.
+    // The configuration service is down while both partners need an urgent change, so an operator pushes the
+    // new bundle to one gateway. The service recovers with the old bundle. A gateway and a sidecar are then
+    // killed and restart with only the old bundle's file. No process may put the old bundle in force again.
     fleet_options options;
     options.config_service = true;
     process_fleet fleet(options);
--- a/tests/process/fleet_files.cpp
+++ b/tests/process/fleet_files.cpp
@@ -68,8 +68,8 @@
     std::ofstream(path(name)) << text;
 }
 
-// Free for TCP and UDP, and below the range that the kernel takes ports of connections from: a port from that
-// range could be taken by a connection of another test before the process binds it.
+// The ports are free for TCP and UDP and lie below the kernel's ephemeral port range: a connection of another
+// test could take an ephemeral port before the process binds it.
 void fleet_files::take_ports()
 {
     constexpr int first_port = 10'000;
--- a/tests/process/fleet_files.h
+++ b/tests/process/fleet_files.h
@@ -8,43 +8,44 @@
 
 namespace dragonflymill::test {
 
-/// What differs from one test's fleet to the next.
+/// Options of one test's fleet.
 struct fleet_options
 {
-    std::string time_scale = "1";            ///< The engines' times run at this multiple of real time.
-    std::string first_model = "assistant-1"; ///< What engine-1 starts with; the bundle wants assistant-1.
-    bool relays = false;                     ///< Whether engines' sidecars are reached through relays.
-    bool config_service = false;             ///< Whether there is one, with the fleet's first bundle.
+    std::string time_scale = "1";            ///< Factor by which the engines' times are stretched.
+    std::string first_model = "assistant-1"; ///< First model of engine-1; the bundle declares assistant-1.
+    bool relays = false;                     ///< Whether gateways reach the engines' sidecars through relays.
+    bool config_service = false; ///< Whether a configuration service runs, with the fleet's first bundle.
 };
 
-/// Folder, ports, keys, settings files and bundles of one test's fleet. The folder goes with this object.
+/// Folder, ports, keys, settings files and bundles of one test's fleet. The destructor removes the folder.
 class fleet_files
 {
 public:
-    /// Chooses ports and writes keys.
+    /// Creates the folder, chooses ports and writes keys.
     fleet_files();
     fleet_files(const fleet_files&) = delete;
     auto operator=(const fleet_files&) -> fleet_files& = delete;
     ~fleet_files();
 
-    /// Path of a file of the fleet.
+    /// Path of a file in the folder.
     [[nodiscard]] auto path(const std::string& name) const -> std::string;
-    /// Address of a process's listener: 0 its service, 1 admin, 2 and 3 control.
+    /// Address of a process's listener: 0 for its service, 1 for admin, 2 for control (UDP), 3 for peers.
     [[nodiscard]] auto listener(const std::string& name, std::size_t number) const -> std::string;
-    /// Where gateways find a sidecar.
+    /// Sets the address under which bundles list a sidecar.
     void set_sidecar_address(const std::string& name, const std::string& address);
-    /// Where processes that are started from now on find the configuration service.
+    /// Sets the configuration service of processes whose settings are written from now on.
     void set_config_service(const std::string& address);
-    /// Processes that are started from now on ask their peers before they serve.
+    /// Makes processes whose settings are written from now on query their peers before they serve.
     void ask_peers_at_start();
-    /// Writes and signs the bundle of that version; its path.
+    /// Writes and signs the bundle of `version`; returns its path.
     auto sign_bundle(int version) -> std::string;
-    /// Writes a sidecar's settings beside an upstream; their path.
+    /// Writes the settings of a sidecar of `upstream`; returns their path.
     [[nodiscard]] auto sidecar_settings(const std::string& name, const std::string& upstream) const
         -> std::string;
-    /// Writes a gateway's settings; their path.
+    /// Writes a gateway's settings; returns their path.
     [[nodiscard]] auto gateway_settings(const std::string& name) const -> std::string;
-    /// Runs `dragonflymill` with `words`, and ends the test if it fails; what it printed.
+    /// Runs `dragonflymill` with the arguments `words` and returns its output; fails the test if the command
+    /// fails.
     static auto command(const std::vector<std::string>& words) -> std::string;
 
 private:
--- a/tests/process/process_fleet.cpp
+++ b/tests/process/process_fleet.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-/// Longest time of one test's process; a test takes seconds.
+/// Limit of one test's process; a test takes seconds.
 constexpr unsigned test_limit_seconds = 120;
 constexpr duration call_limit = 60s;
 
@@ -26,8 +26,8 @@
 
 process_fleet::process_fleet(const fleet_options& options)
 {
-    // Guards against a test that never ends, also in a loop of its own: the runner would wait for it for
-    // ever. Its children are ended by the kernel together with it.
+    // Ends a test that hangs, even in a busy loop; the test runner would wait for it for ever. The kernel
+    // kills its children together with it.
     alarm(test_limit_seconds);
     start_standins(options);
     if (options.relays) {
@@ -68,7 +68,7 @@
 void process_fleet::kill(const std::string& name)
 {
     process(name).signal(SIGKILL);
-    cr_assert(process(name).wait(generous).has_value(), "%s outlives SIGKILL", name.c_str());
+    cr_assert(process(name).wait(generous).has_value(), "%s still runs after SIGKILL", name.c_str());
 }
 
 void process_fleet::start_sidecar(const std::string& name)
@@ -239,7 +239,8 @@
     children_.erase(name);
     children_[name] = std::make_unique<test_support::child_process>(
         std::string(DRAGONFLYMILL_BINARY_DIR) + "/" + program, arguments);
-    cr_assert(children_[name]->started(), "%s can't be started", program.c_str());
+    cr_assert(children_[name]->started(), "%s could not be started; is /usr/bin/setpriv installed?",
+              program.c_str());
 }
 
 void process_fleet::start_standins(const fleet_options& options)
@@ -257,7 +258,7 @@
     }
 }
 
-// The service has the first bundle and nothing newer: also when it answers again, it is behind.
+// The service publishes only the first bundle, so it stays stale after it recovers from an outage.
 void process_fleet::start_config_service(const std::string& bundle)
 {
     start("config", "standins", {"config"});
@@ -275,12 +276,12 @@
     publish(control::manifest_key, encode_signed_manifest(package.value().manifest));
 }
 
-// Ready says that a bundle is in force; a link to each sidecar still has to come up.
+// Readiness only means that a bundle is in force; the links to the sidecars may still be connecting.
 void process_fleet::warm_up() const
 {
     for (const std::string name : {"gateway-1", "gateway-2"}) {
         cr_assert(comes_true([&] { return standins::call_and_wait(completion(name, 100, 1)).status == 200; }),
-                  "%s answers nothing", name.c_str());
+                  "%s answers no completion", name.c_str());
     }
     cr_assert(nothing_is_held());
 }
--- a/tests/process/running_stream.h
+++ b/tests/process/running_stream.h
@@ -8,29 +8,30 @@
 
 namespace dragonflymill::test {
 
-/// A long answer under way through gateway-1, and the engine that gives it.
+/// A long streamed response in flight through gateway-1, and the engine that decodes it.
 class running_stream
 {
 public:
-    /// Sends the request, with a limit of its own if given, and waits until an engine holds it.
+    /// Sends the request, with its own timeout if given, and waits until an engine has accepted it.
     explicit running_stream(process_fleet& fleet, token_count answer = long_answer,
                             duration time_limit = generous)
         : answer_(answer)
         , seed_(seed_of_long_answer(prompt, answer))
         , call_(limited(fleet.completion("gateway-1", prompt, answer, seed_), time_limit))
     {
-        cr_assert(comes_true([&] { return !(engine_ = fleet.busy_engine()).empty(); }), "no engine got it");
+        cr_assert(comes_true([&] { return !(engine_ = fleet.busy_engine()).empty(); }),
+                  "no engine accepted the request");
     }
-    /// Waits until the caller has read a part of the answer.
+    /// Waits until the caller has received a part of the response.
     void wait_until_read() const
     {
-        cr_assert(comes_true([&] { return call_.received() > 0; }), "the caller reads nothing");
+        cr_assert(comes_true([&] { return call_.received() > 0; }), "the caller received nothing");
     }
-    /// The engine that had it first.
+    /// The engine that accepted the first attempt.
     [[nodiscard]] auto engine() const -> const std::string& { return engine_; }
-    /// What the caller got, once it is over.
+    /// Waits for the end of the call; the response as the caller received it.
     [[nodiscard]] auto got() -> const standins::http_answer& { return call_.answer(); }
-    /// Whether the caller got the whole answer, each token once.
+    /// Whether the caller received the complete response, each token exactly once.
     [[nodiscard]] auto is_whole() -> bool
     {
         const bool whole = is_whole_answer(got(), prompt, answer_, seed_);
@@ -42,7 +43,7 @@
 
 private:
     static constexpr token_count prompt = 500;
-    static constexpr token_count long_answer = 120; // the stand-in's longest is a little more
+    static constexpr token_count long_answer = 120; // slightly below the stand-in's longest response
 
     static auto limited(standins::http_call call, duration time_limit) -> standins::http_call
     {
--- a/tests/process/stop_faults_test.cpp
+++ b/tests/process/stop_faults_test.cpp
@@ -13,7 +13,7 @@
 constexpr token_count answer = 80;
 constexpr std::uint64_t stream_count = 6;
 
-/// Several streams through gateway-1, sent at once.
+/// Concurrent streams through gateway-1.
 struct load
 {
     explicit load(process_fleet& fleet)
@@ -39,8 +39,8 @@
 
 FAULT_CELL_MORE(process_stop, same_twice, gateway_under_load)
 {
-    // A gateway is asked to stop, twice, while callers read their answers. Every one of them gets its whole
-    // answer; then the process ends by itself, with 0.
+    // A gateway gets SIGTERM twice while it streams responses. Every caller must get its complete response,
+    // and the process must then exit with 0.
     process_fleet fleet;
     load running(fleet);
     fleet.process("gateway-1").signal(SIGTERM);
@@ -52,7 +52,8 @@
 
 FAULT_CELL_MORE(process_stop, same_twice, sidecar_under_load)
 {
-    // A sidecar is asked to stop, twice, while its engine answers. No caller notices.
+    // A sidecar gets SIGTERM twice while its engine decodes. Every caller must get its complete response, and
+    // the process must exit with 0.
     process_fleet fleet;
     load running(fleet);
     const auto name = "sidecar-" + fleet.busy_engine();
--- a/tests/process/stream_answer.cpp
+++ b/tests/process/stream_answer.cpp
@@ -10,8 +10,8 @@
 
 auto seed_of_long_answer(token_count tokens, token_count max_tokens) -> std::uint64_t
 {
-    // Guards against a search without an end: an answer longer than the stand-in ever gives was asked for,
-    // and the runner waited for ever.
+    // Bounds the search: for a response longer than the stand-in's maximum it would never end, and the test
+    // runner would hang.
     constexpr std::uint64_t seeds_tried = 10'000;
     for (std::uint64_t seed = 1; seed < seeds_tried; ++seed) {
         const auto hash = standins::digest_of(standins::prompt_text(tokens, seed)).hash;
@@ -19,7 +19,7 @@
             return seed;
         }
     }
-    cr_assert_fail("no prompt is answered with %lld tokens: ask for fewer",
+    cr_assert_fail("no prompt gets a response of %lld tokens; request fewer tokens",
                    static_cast<long long>(max_tokens));
     return 0;
 }
--- a/tests/process/stream_answer.h
+++ b/tests/process/stream_answer.h
@@ -7,11 +7,12 @@
 
 namespace dragonflymill::test {
 
-/// A seed whose prompt of `tokens` is answered with all of `max_tokens`, not with the model's own earlier
-/// end. Ends the test if a few thousand seeds give none: the engine's stand-in has a longest answer.
+/// Returns a seed whose prompt of `tokens` gets a response of exactly `max_tokens`, without an earlier stop
+/// by the model. Fails the test if there is none below 10,000: the stand-in engine limits the response
+/// length.
 [[nodiscard]] auto seed_of_long_answer(token_count tokens, token_count max_tokens) -> std::uint64_t;
 
-/// Whether a streamed answer came whole: ends with `[DONE]`, has no error, and its text is the expected one.
+/// Whether a streamed response is complete: status 200, `[DONE]` received, and the expected text.
 [[nodiscard]] auto is_whole_answer(const standins::http_answer& answer, token_count tokens,
                                    token_count max_tokens, std::uint64_t seed = 1) -> bool;
 
--- a/tests/process/stream_faults_test.cpp
+++ b/tests/process/stream_faults_test.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Engines at a multiple of their usual times: at 30 a long answer takes longer than any test waits, so that
-/// nothing but a cancel can free its memory meanwhile.
+/// Options for engines that run at a multiple of their usual times. At 30 a long response takes longer than
+/// any test waits, so that only a cancellation can release its memory in time.
 auto slow_engines(const std::string& time_scale) -> fleet_options
 {
     fleet_options out;
@@ -19,22 +19,22 @@
 
 FAULT_CELL_MORE(request_stream, process_dies, gateway_killed)
 {
-    // The gateway is killed in the middle of an answer. Its caller sees the connection end without the
-    // stream's end; no engine keeps memory for an answer that nobody will read, and the other gateway serves.
+    // The gateway is killed in the middle of a stream. Its caller must see a connection that closes without
+    // the end of the stream, the engines must release the orphaned call, and the other gateway must serve.
     process_fleet fleet(slow_engines("30"));
     running_stream stream(fleet);
     stream.wait_until_read();
     fleet.kill("gateway-1");
-    cr_assert(!stream.got().failure.empty(), "a broken answer must not look whole");
+    cr_assert(!stream.got().failure.empty(), "a broken stream must not look complete");
     cr_assert(fleet.nothing_is_held());
     cr_assert(is_whole_answer(standins::call_and_wait(fleet.completion("gateway-2", 100, 4)), 100, 4));
 }
 
 FAULT_CELL_MORE(request_stream, process_dies, sidecar_killed)
 {
-    // A caller reads a long answer when the sidecar of its engine is killed. It gets the one whole answer,
-    // from the other engine. The first engine runs on, or holds what it made, without a reader; the sidecar
-    // that is started anew finds what it holds and cancels it.
+    // The sidecar is killed while its engine streams a long response. The caller must get one complete
+    // response, from the other engine. The first engine continues or keeps the result without a consumer; the
+    // restarted sidecar must find the orphaned call and cancel it.
     process_fleet fleet;
     running_stream stream(fleet);
     stream.wait_until_read();
@@ -46,8 +46,9 @@
 
 FAULT_CELL_MORE(request_stream, paused_wakes_late, sidecar_stopped)
 {
-    // The sidecar is frozen in the middle of an answer and wakes when the answer has come from elsewhere.
-    // What it then sends is of an older try: the caller has one whole answer, and the engine holds nothing.
+    // The sidecar is paused in the middle of a stream and resumes after another engine has completed the
+    // response. Its late output belongs to an older attempt: the caller must get one complete response, and
+    // the engine must release the call.
     process_fleet fleet;
     running_stream stream(fleet);
     stream.wait_until_read();
@@ -55,13 +56,14 @@
     const bool whole = stream.is_whole();
     fleet.process("sidecar-" + stream.engine()).signal(SIGCONT);
     cr_assert(whole);
-    fleet.revive_sidecar(stream.engine()); // frozen beyond its own lease, it ends itself
+    fleet.revive_sidecar(stream.engine()); // a sidecar paused beyond its own lease exits
     cr_assert(fleet.nothing_is_held());
 }
 
 FAULT_CELL_MORE(request_stream, process_dies, engine_dies)
 {
-    // The engine itself goes in the middle of an answer: its port closes. The caller gets the whole answer.
+    // The engine crashes in the middle of a stream and its port closes. The caller must get the complete
+    // response.
     process_fleet fleet;
     running_stream stream(fleet);
     stream.wait_until_read();
@@ -71,8 +73,8 @@
 
 FAULT_CELL_MORE(request_cancel, message_lost, caller_leaves)
 {
-    // A caller goes away in the middle of its answer, without a word that its connection could carry on.
-    // Nobody reads on, so the engines have to let go.
+    // A caller times out in the middle of a stream and disconnects. The engines must release the call, which
+    // nobody consumes any more.
     process_fleet fleet(slow_engines("30"));
     running_stream leaving(fleet, 120, 1s);
     cr_assert(!leaving.got().failure.empty());
@@ -81,9 +83,10 @@
 
 FAULT_CELL_MORE(request_stream, connection_silent, engine_silent)
 {
-    // Something between sidecar and engine loses track of their connections: they stay open and say nothing,
-    // new ones work. A caller waits for its first token, and only the transport's bound of two minutes would
-    // end that. The caller gets its whole answer, and the engine lets go of the stream without a reader.
+    // A middlebox between sidecar and engine loses its connection state: open connections carry nothing more,
+    // new ones work. The call waits for its first token, and only the transport's timeout of two minutes
+    // would end that. The caller must get the complete response, and the engine must release the orphaned
+    // stream.
     process_fleet fleet(slow_engines("10"));
     running_stream stream(fleet, 16);
     fleet.fault(stream.engine(), R"({"go_silent":true})");
@@ -93,10 +96,10 @@
 
 FAULT_CELL_MORE(request_stream, partition, way_to_sidecar_cut)
 {
-    // The way between gateways and one sidecar is cut in the middle of an answer: connections stay open and
-    // carry nothing, new ones neither. The caller gets its whole answer from the other engine, the first one
-    // lets go. When the way heals the gateways replace their connections: with the other sidecar gone, the
-    // first one serves.
+    // The gateways are partitioned from one sidecar in the middle of a stream: open and new connections carry
+    // nothing. The caller must get the complete response from the other engine, and the first engine must
+    // release the call. After the partition heals the gateways must reconnect: with the other sidecar killed,
+    // the first engine serves.
     auto options = slow_engines("1");
     options.relays = true;
     process_fleet fleet(options);
--- a/tests/process/waiting.h
+++ b/tests/process/waiting.h
@@ -7,10 +7,10 @@
 
 namespace dragonflymill::test {
 
-/// How long a test waits for what has to come; far longer than it takes.
+/// Longest wait for an expected event; far longer than any takes.
 inline constexpr duration generous = 30s;
 
-/// Polls until `condition` holds, at most `generous`.
+/// Polls until `condition` holds; false if it does not within `generous`.
 template <typename Condition>
 [[nodiscard]] auto comes_true(Condition condition) -> bool
 {
--- a/tests/soak/promises.cpp
+++ b/tests/soak/promises.cpp
@@ -5,7 +5,7 @@
 void promises::ran(const std::string& request, bool repeatable)
 {
     if (!repeatable && ++runs_[request] > 1) {
-        broken("a booking ran twice: " + request);
+        broken("a booking was executed twice: " + request);
     }
 }
 
@@ -13,7 +13,7 @@
 {
     const auto late = std::chrono::steady_clock::now() - left;
     if (late > bound) {
-        broken("a request reached an upstream that had left: " + request + " after " +
+        broken("a request reached a draining upstream after the limit: " + request + " after " +
                std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(late).count()) + " ms");
     }
 }
@@ -29,14 +29,14 @@
 {
     ++answers_;
     if (bytes != expected) {
-        broken("a whole answer isn't that of its request: " + request + ": " + bytes);
+        broken("a complete response does not match its request: " + request + ": " + bytes);
     }
 }
 
 void promises::part(const std::string& request, const std::string& bytes, const std::string& expected)
 {
     if (!expected.starts_with(bytes)) {
-        broken("a part of an answer has a hole or a repeat: " + request + ": " + bytes);
+        broken("a partial response has a gap or a duplicate: " + request + ": " + bytes);
     }
 }
 
@@ -44,7 +44,7 @@
 {
     for (const std::string& request : told_not_run_) {
         if (runs_.contains(request)) {
-            broken("said not to have run, but it ran: " + request);
+            broken("reported as not executed, but was executed: " + request);
         }
     }
 }
--- a/tests/soak/promises.h
+++ b/tests/soak/promises.h
@@ -10,28 +10,29 @@
 
 using moment = std::chrono::steady_clock::time_point;
 
-/// What callers and upstreams saw, held against what was promised. Every breach is kept with its words.
+/// Checks what callers and upstreams observe against the delivery guarantees, and records every violation.
 class promises
 {
 public:
-    /// An upstream begins to run a call; `repeatable` if it may run more than once.
+    /// Records that an upstream starts to execute a call; `repeatable` if it may be executed more than once.
     void ran(const std::string& request, bool repeatable);
-    /// A request reached an upstream that left at `left` and takes work until `bound` after it.
+    /// Records a request to an upstream that has been draining since `left`; a violation more than `bound`
+    /// later.
     void reached_leaving(const std::string& request, moment left, std::chrono::milliseconds bound);
-    /// A caller was told that its call was not run.
+    /// Records a response that states that the call was not executed.
     void told_not_run(const std::string& request, bool repeatable);
-    /// A caller got a whole answer with these bytes; `expected` is what an upstream sends for this request.
+    /// Compares a complete response with `expected`, which an upstream sends for this request.
     void answered(const std::string& request, const std::string& bytes, const std::string& expected);
-    /// A caller got a part of a stream.
+    /// Checks that the received part of a stream is a prefix of `expected`.
     void part(const std::string& request, const std::string& bytes, const std::string& expected);
-    /// Something else that was promised does not hold.
+    /// Records a violation of any other guarantee.
     void broken(const std::string& what) { breaches_.push_back(what); }
 
-    /// What is checked when all is over.
+    /// Checks at the end of the run that no call reported as not executed was executed.
     void close();
-    /// All breaches.
+    /// Messages of all violations, in the order in which they were found.
     [[nodiscard]] auto breaches() const -> const std::vector<std::string>& { return breaches_; }
-    /// Whole answers so far.
+    /// Number of complete responses so far.
     [[nodiscard]] auto answers() const -> int { return answers_; }
 
 private:
--- a/tests/soak/soak_upstream.cpp
+++ b/tests/soak/soak_upstream.cpp
@@ -20,7 +20,7 @@
 
 void send(taken_connection& call, const std::string& bytes)
 {
-    boost::system::error_code ignored; // the gateway was killed or has cancelled
+    boost::system::error_code ignored; // the gateway may have been killed or have cancelled
     boost::asio::write(call.socket, boost::asio::buffer(bytes), ignored);
 }
 
--- a/tests/soak/soak_world.cpp
+++ b/tests/soak/soak_world.cpp
@@ -29,7 +29,7 @@
     return all;
 }
 
-/// A port that is free on an address now.
+/// Returns a TCP port that is currently free on `ip`.
 auto free_port(boost::asio::io_context& loop, const std::string& ip) -> std::uint16_t
 {
     boost::asio::ip::tcp::acceptor probe(loop, {boost::asio::ip::make_address(ip), 0});
@@ -38,7 +38,7 @@
 
 } // namespace
 
-/// One caller's try: a new connection, a request, and what came back.
+/// One call: opens a connection, sends a request and checks the response.
 class soak_world::caller : public std::enable_shared_from_this<soak_world::caller>
 {
 public:
@@ -66,7 +66,7 @@
     void send_request()
     {
         const std::string path = is_stream_ ? "/chat/" : "/book/";
-        boost::system::error_code ignored; // the gateway was killed
+        boost::system::error_code ignored; // the gateway may have been killed
         const std::string text = "POST " + path + "x HTTP/1.1\r\nHost: h.example\r\nConnection: close\r\n" +
                                  "Dragonflymill-Attempt-Id: " + request_ +
                                  "\r\nDragonflymill-Request-Deadline: 4000\r\nContent-Length: 2\r\n\r\nhi";
@@ -122,7 +122,7 @@
     , program_(std::move(program))
     , store_(loop_)
 {
-    // An own network of the loopback range for each run, so that two runs don't meet.
+    // Each run uses its own loopback subnet, so that concurrent runs do not collide.
     const std::string net =
         "127." + std::to_string(1 + getpid() / 250 % 250) + "." + std::to_string(1 + getpid() % 250) + ".";
     const std::uint16_t peer_port = free_port(loop_, net + "1");
@@ -262,17 +262,17 @@
         later(2s, [this] { set_mood(store_standin::mood::well); });
         return;
     case 5:
-        tell("history forgotten");
+        tell("store history compacted");
         store_.forget_history();
         return;
     case 6:
-        tell("configuration");
+        tell("configuration changed");
         put_config();
         return;
     case 7:
         if (!upstream.left() && upstreams_.size() < 40) {
             const std::string service = upstream.id().substr(0, upstream.id().find('-'));
-            tell(upstream.id() + " leaves, another one comes");
+            tell(upstream.id() + " drains and is replaced");
             upstream.leave();
             store_.put("servers/" + upstream.id(), upstream.entry(true));
             later(1s, [this, id = upstream.id()] { store_.remove("servers/" + id); });
@@ -289,7 +289,7 @@
     if (!gateway.process || gateway.ends_by || gateway.paused) {
         return;
     }
-    // Before its first instruction a program can't take these, and their default ends it.
+    // SIGTERM and SIGHUP terminate a process that has not installed its handlers yet.
     const bool needs_handler = kind == 9 || kind == 12;
     if (!gateway.up && needs_handler) {
         return;
@@ -300,7 +300,7 @@
         gateway.process->signal(SIGKILL);
         return;
     case 9:
-        tell(gateway.ip + " asked to stop");
+        tell(gateway.ip + " stops (SIGTERM)");
         gateway.process->signal(SIGTERM);
         gateway.ends_by = std::chrono::steady_clock::now() + 12s;
         return;
@@ -316,12 +316,12 @@
         });
         return;
     case 11:
-        tell(gateway.ip + " cut off from the store");
+        tell(gateway.ip + " partitioned from the store");
         gateway.store_path->cut();
         later(2500ms, [&gateway] { gateway.store_path->heal(); });
         return;
     default:
-        tell(gateway.ip + " settings changed");
+        tell(gateway.ip + " reloads its settings (SIGHUP)");
         gateway.process->signal(SIGHUP);
     }
 }
@@ -336,16 +336,16 @@
         const bool asked = gateway.ends_by.has_value();
         if (code) {
             if (asked && *code != 0) {
-                promises_.broken(gateway.ip + " ended with " + std::to_string(*code) +
-                                 " after a planned stop");
+                promises_.broken(gateway.ip + " exited with " + std::to_string(*code) +
+                                 " after a requested stop");
             }
             if (!asked && *code != 128 + SIGKILL) {
-                promises_.broken(gateway.ip + " ended by itself with " + std::to_string(*code));
+                promises_.broken(gateway.ip + " exited without a request, with " + std::to_string(*code));
             }
             start_gateway(gateway);
         }
         else if (asked && std::chrono::steady_clock::now() > *gateway.ends_by) {
-            promises_.broken(gateway.ip + " still runs twelve seconds after it was asked to stop");
+            promises_.broken(gateway.ip + " still runs twelve seconds after SIGTERM");
             gateway.process->signal(SIGKILL);
             gateway.ends_by.reset();
         }
@@ -385,15 +385,15 @@
 {
     poll(length, true);
     heal();
-    // Faults that are under way end, stopping gateways finish and start again.
+    // Active faults expire, and stopping gateways exit and are restarted.
     poll(14s, false);
     calm_calls_ = 0;
     calm_answers_ = 0;
     poll(3s, false);
     poll(1s, false);
-    // Calls of the last second may still be under way; what a broken service would miss is far more.
+    // Calls of the last second may still be in flight; a broken service would lose far more than these.
     if (calm_answers_ * 10 < (calm_calls_ - 100) * 9) {
-        promises_.broken("service is not back: " + std::to_string(calm_answers_) + " of " +
+        promises_.broken("service has not recovered: " + std::to_string(calm_answers_) + " of " +
                          std::to_string(calm_calls_) + " calls answered");
     }
     promises_.close();
--- a/tests/soak/soak_world.h
+++ b/tests/soak/soak_world.h
@@ -18,36 +18,35 @@
 
 namespace dragonflymill::soak {
 
-/// A service or engine: runs what reaches it, unless a fault is on it.
+/// A service or engine on loopback that executes each request unless a fault is set.
 class soak_upstream
 {
 public:
-    /// What it does with a request.
+    /// How it treats a request.
     enum class fault
     {
-        none,  ///< Runs it.
-        full,  ///< Says that it has not run it.
-        reset, ///< Runs it and loses the answer; a stream breaks off inside an event.
-        hang,  ///< Runs it and stays silent.
+        none,  ///< Executes it.
+        full,  ///< Rejects it with 503 and states that it was not executed.
+        reset, ///< Executes it and resets the connection; a stream ends inside an event.
+        hang,  ///< Executes it and never answers.
     };
 
     soak_upstream(boost::asio::io_context& loop, std::string id, std::string service, promises& kept);
 
-    /// Its entry in the store.
+    /// Its record in the store, in JSON; `leaving` gives the state `draining`.
     [[nodiscard]] auto entry(bool leaving) const -> std::string;
-    /// Its name.
     [[nodiscard]] auto id() const -> const std::string& { return id_; }
-    /// Changes what it does.
+    /// Sets the fault for the requests and stream events that follow.
     void set_fault(fault now) { fault_ = now; }
-    /// It has said that it leaves.
+    /// Marks the upstream as draining from now on.
     void leave() { left_ = std::chrono::steady_clock::now(); }
-    /// For how long the store has been well; nothing while it isn't. While it can't be read no gateway can
-    /// know that an upstream leaves.
+    /// Sets the function that returns since when the store has been available, nothing while it isn't. While
+    /// the store is unavailable no gateway can learn that an upstream is draining.
     void set_store_well(std::function<std::optional<moment>()> well_since)
     {
         well_since_ = std::move(well_since);
     }
-    /// Whether it has left.
+    /// Whether the upstream is draining.
     [[nodiscard]] auto left() const -> bool { return left_.has_value(); }
 
 private:
@@ -66,39 +65,40 @@
     std::function<std::optional<moment>()> well_since_;
 };
 
-/// A gateway process, its own way to the store, and its settings file.
+/// A gateway process, its own relay to the store, and its settings file.
 struct soak_gateway
 {
-    std::string ip;                                       ///< Its address in the loopback range.
-    std::unique_ptr<test_support::tcp_relay> store_path;  ///< Its way to the store.
-    std::string settings;                                 ///< Path of its settings file.
-    std::unique_ptr<test_support::child_process> process; ///< Nothing while it is down.
-    std::optional<moment> ends_by; ///< It was asked to stop and has to be gone by then.
-    bool paused = false;           ///< It is stopped by a signal.
-    bool up = false;               ///< It has taken a connection since its last start.
+    std::string ip;                                       ///< Loopback address.
+    std::unique_ptr<test_support::tcp_relay> store_path;  ///< Relay to the store.
+    std::string settings;                                 ///< Path of the settings file.
+    std::unique_ptr<test_support::child_process> process; ///< Null while the gateway is down.
+    std::optional<moment> ends_by; ///< Deadline of a requested stop; nothing if none was requested.
+    bool paused = false;           ///< Stopped by SIGSTOP.
+    bool up = false;               ///< Has accepted a connection since its last start.
 };
 
-/// Real gateway processes between callers, stand-ins and a store on loopback, with faults in series that
-/// overlap. All choices come from a seed; times are those of the machine.
+/// Real gateway processes between callers, stand-in upstreams and a stand-in store on loopback, with injected
+/// faults that may overlap. A seed determines all random choices; times are wall-clock times.
 class soak_world
 {
 public:
-    /// `program` is the binary to try.
+    /// Starts the gateways; `program` is the path of the binary under test.
     soak_world(std::uint64_t seed, std::string program);
     ~soak_world();
     soak_world(const soak_world&) = delete;
     auto operator=(const soak_world&) -> soak_world& = delete;
 
-    /// Runs callers and faults for so long, then a calm end in which service must be back.
+    /// Runs callers and faults for `length`, then ends the faults and checks that the service recovers.
     void run(std::chrono::milliseconds length);
-    /// What was seen.
+    /// Guarantees as checked so far.
     [[nodiscard]] auto kept() -> promises& { return promises_; }
-    /// What was done, a line a fault.
+    /// Injected faults, one line each, with milliseconds since the start.
     [[nodiscard]] auto story() const -> const std::vector<std::string>& { return story_; }
 
-    static constexpr int gateways = 3; ///< Processes.
-    /// Work may reach an upstream for so long after it left: the two seconds of the settings, three in which
-    /// a gateway that was cut off or paused doesn't count as warned, and one for a busy machine.
+    static constexpr int gateways = 3; ///< Number of gateway processes.
+    /// Longest time for which requests may still reach a draining upstream: two seconds of drain time from
+    /// the settings, three seconds in which a partitioned or paused gateway may not know of the drain, and
+    /// one second for a loaded machine.
     static constexpr std::chrono::milliseconds leave_bound{6000};
 
 private:
--- a/tests/soak/store_standin.cpp
+++ b/tests/soak/store_standin.cpp
@@ -23,7 +23,7 @@
 
 void reply(taken_connection& call, int status, const std::string& body)
 {
-    boost::system::error_code ignored; // a gateway that was killed meanwhile
+    boost::system::error_code ignored; // the gateway may have been killed
     const std::string text = "HTTP/1.1 " + std::to_string(status) +
                              " S\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
     boost::asio::write(call.socket, boost::asio::buffer(text), ignored);
--- a/tests/soak/store_standin.h
+++ b/tests/soak/store_standin.h
@@ -12,29 +12,31 @@
 
 namespace dragonflymill::soak {
 
-/// The platform's metadata store, as far as gateways use it: listing and watching all keys.
+/// Stand-in for the platform's metadata store with the operations that gateways use: listing and watching all
+/// keys.
 class store_standin
 {
 public:
-    /// How it answers.
+    /// How the store responds to calls.
     enum class mood
     {
-        well,   ///< As it should.
-        busy,   ///< 503 to each call.
-        silent, ///< Not at all.
+        well,   ///< Normally.
+        busy,   ///< With 503.
+        silent, ///< Never.
     };
 
     explicit store_standin(boost::asio::io_context& loop);
 
-    /// Where it listens.
+    /// Address and port on which the store listens.
     [[nodiscard]] auto address() const -> std::string { return server_.address(); }
-    /// Writes a record; watches hear of it.
+    /// Writes a record and notifies pending watches.
     void put(const std::string& key, const std::string& value);
-    /// Removes a record.
+    /// Removes a record and notifies pending watches.
     void remove(const std::string& key);
-    /// Changes how it answers; calls that wait are left without an answer when it falls silent.
+    /// Sets how later calls are answered. A record that changes while the store is not `well` drops the
+    /// pending watches without a response.
     void set_mood(mood now) { mood_ = now; }
-    /// Forgets what has changed so far: watches from before must list anew.
+    /// Compacts the history: a watch from an earlier revision gets 410 and has to list again.
     void forget_history() { history_from_ = revision_; }
 
 private:
