--- a/tests/fuzz/decoder_fuzz.cpp
+++ b/tests/fuzz/decoder_fuzz.cpp
@@ -14,13 +14,14 @@
 
 namespace {
 
-// What was read must be written the same way again: two spellings of one thing would have two digests.
+// Decoding and encoding must round-trip: two encodings of the same bundle would have different digests.
 void check_bundle_round_trip(const std::string& text)
 {
-    const auto reading = read_bundle_source(text);
-    if (reading.mistakes.empty()) {
-        const auto again = decode_bundle(encode_bundle(reading.value));
-        DRAGONFLYMILL_ASSERT(again.has_value() && again.value() == reading.value, "a bundle reads back");
+    const auto parsed = read_bundle_source(text);
+    if (parsed.mistakes.empty()) {
+        const auto again = decode_bundle(encode_bundle(parsed.value));
+        DRAGONFLYMILL_ASSERT(again.has_value() && again.value() == parsed.value,
+                             "a bundle must round-trip through its encoding");
     }
 }
 
@@ -28,13 +29,14 @@
 {
     const auto read = decode_signed_manifest(text);
     if (read.has_value()) {
-        DRAGONFLYMILL_ASSERT(encode_signed_manifest(read.value()) == text, "a manifest reads back");
+        DRAGONFLYMILL_ASSERT(encode_signed_manifest(read.value()) == text,
+                             "a manifest must round-trip through its encoding");
         DRAGONFLYMILL_ASSERT(verify_manifest(read.value(), test_partners('x', 'y')).has_error(),
-                             "nothing is forged");
+                             "a fuzzed manifest must not pass verification");
     }
 }
 
-// A process that knows the key may still send anything: no content may break an invariant.
+// A peer with the key may still send arbitrary content, which must not violate an invariant.
 void check_datagram(const std::string& bytes)
 {
     const auto read = decode_datagram(bytes);
@@ -51,7 +53,7 @@
         for (const auto& output : member.tick(instant{} + 1s * second)) {
             if (const auto* sent = std::get_if<send_datagram>(&output)) {
                 DRAGONFLYMILL_ASSERT(encode_datagram(sent->message).size() <= max_datagram_bytes,
-                                     "one frame");
+                                     "a sent datagram must fit into one frame");
             }
         }
     }
@@ -59,8 +61,8 @@
 
 } // namespace
 
-// The first byte chooses the decoder.
-// NOLINTNEXTLINE(readability-identifier-naming): the name that libFuzzer calls
+// The first byte of the input selects the decoder.
+// NOLINTNEXTLINE(readability-identifier-naming): name required by libFuzzer
 extern "C" auto LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) -> int
 {
     if (size == 0) {
--- a/tests/support/child_process.cpp
+++ b/tests/support/child_process.cpp
@@ -11,7 +11,7 @@
 #include <thread>
 #include <unistd.h>
 
-extern char** environ; // NOLINT(readability-identifier-naming): the C library's name
+extern char** environ; // NOLINT(readability-identifier-naming): name given by the C library
 
 namespace dragonflymill::test_support {
 
@@ -20,9 +20,9 @@
 constexpr int signal_base = 128;
 constexpr auto wait_step = std::chrono::milliseconds(2);
 
-// A check that fails ends the test process without destructors; children would stay behind and hold its
-// output open. So each is started through util-linux's setpriv, which has the kernel end it together with the
-// test.
+// A failed check ends the test process without running destructors, which would leave children behind that
+// keep its output open. Each child is therefore started through util-linux's setpriv, which makes the kernel
+// kill it when the test process ends.
 constexpr const char* launcher = "/usr/bin/setpriv";
 constexpr const char* end_with_parent = "--pdeathsig=KILL";
 
--- a/tests/support/child_process.h
+++ b/tests/support/child_process.h
@@ -10,29 +10,30 @@
 
 namespace dragonflymill::test_support {
 
-/// A real process for a test of signals and sockets. It is killed and reaped when this object goes, so that
-/// no test leaves one behind.
+/// A child process for tests of signals and sockets. The destructor kills and reaps it, so that no test
+/// leaves a process behind.
 class child_process
 {
 public:
-    /// Starts `program` with `arguments`; its standard output can be read here, its standard error is the
-    /// test's.
+    /// Starts `program` with `arguments`. Standard output is captured; standard error is that of the test.
     child_process(const std::string& program, const std::vector<std::string>& arguments);
     child_process(const child_process&) = delete;
     auto operator=(const child_process&) -> child_process& = delete;
     ~child_process();
 
-    /// Whether it could be started.
+    /// Whether the process was started.
     [[nodiscard]] auto started() const -> bool { return pid_ > 0 || exit_code_.has_value(); }
-    /// Its process id; 0 once it was reaped.
+    /// Process id; 0 if it was not started or has been reaped.
     [[nodiscard]] auto pid() const -> pid_t { return pid_; }
-    /// Next line of its output, without the line's end; nothing at the end of output or after `limit`.
+    /// Returns the next line of output without its newline; nothing at the end of the output or after
+    /// `limit`.
     [[nodiscard]] auto read_line(duration limit = 10s) -> std::optional<std::string>;
-    /// Port of the next line `listening ADDRESS:PORT...`; 0 if none comes within `limit`.
+    /// Returns the port in the next output line `listening ADDRESS:PORT...`; 0 if there is none within
+    /// `limit`.
     [[nodiscard]] auto read_port(duration limit = 10s) -> std::uint16_t;
-    /// Sends a signal to it.
+    /// Sends a signal to the process unless it has been reaped.
     void signal(int number) const;
-    /// Waits for its end, at most `limit`: the exit code, or 128 + signal; nothing if it still runs.
+    /// Waits at most `limit` for the exit: the exit code, or 128 + signal number; nothing if it still runs.
     [[nodiscard]] auto wait(duration limit = 10s) -> std::optional<int>;
 
 private:
--- a/tests/support/fault_cell.h
+++ b/tests/support/fault_cell.h
@@ -2,10 +2,10 @@
 
 #include <criterion/criterion.h>
 
-/// A test of one cell of the fault matrix: what `fault` does at `step` of a protocol. Criterion then knows it
-/// as suite `step__<protocol>_<step>` and test `fault__<fault>`; `tools/fault-matrix` reads both out of the
-/// run's report. A second test of a cell takes FAULT_CELL_MORE with a word of its own. Its body opens with
-/// the story: what a user sees, the order of events, the cause.
+/// Defines the test of one cell of the fault matrix: the effect of `fault` at `step` of a protocol. Criterion
+/// lists it as suite `step__<protocol>_<step>` and test `fault__<fault>`; `tools/fault-matrix` reads both
+/// from the report of the run. Further tests of a cell use FAULT_CELL_MORE with a distinct `word`. The body
+/// starts with a comment on the visible failure, the order of events and the cause.
 ///
 /// Faults: process_dies, paused_wakes_late, connection_silent, message_lost, message_late, message_doubled,
 /// message_reordered, partition, partition_one_way, upstream_cold, config_down, config_stale, host_list_lags,
--- a/tests/support/message_bag.h
+++ b/tests/support/message_bag.h
@@ -10,35 +10,35 @@
 
 namespace dragonflymill::test {
 
-/// How unkind the network of a schedule test is. Reordering comes from the spread of the delays.
+/// Fault rates and delays of the simulated network of a schedule test. Random delays reorder messages.
 struct message_bag_rules
 {
     double drop = 0.0;                ///< Probability that a message is lost.
-    double duplicate = 0.0;           ///< Probability that a message arrives twice.
-    double late = 0.0;                ///< Probability that a message takes up to `late_delay` instead.
-    duration min_delay = 100us;       ///< Shortest time on the way.
-    duration max_delay = 2ms;         ///< Longest time on the way of a message that is not late.
-    duration late_delay = 5s;         ///< Longest time on the way of a late message.
-    std::size_t max_messages = 4'096; ///< Messages under way at most; more are lost.
+    double duplicate = 0.0;           ///< Probability that a message is delivered twice.
+    double late = 0.0;                ///< Probability that a message is delayed by up to `late_delay`.
+    duration min_delay = 100us;       ///< Shortest delay.
+    duration max_delay = 2ms;         ///< Longest delay of a message that is not late.
+    duration late_delay = 5s;         ///< Longest delay of a late message.
+    std::size_t max_messages = 4'096; ///< Limit of messages in flight; any above it are lost.
 };
 
-/// The messages under way between the parts of a schedule test, on a virtual clock. The same seed and the
-/// same calls give the same deliveries.
+/// Simulated network of a schedule test: the messages in flight between its components, on a virtual clock.
+/// Deterministic for the same seed and the same calls.
 template <typename Message>
 class message_bag
 {
 public:
-    /// An empty bag that draws its faults from `seed`.
+    /// Starts with no messages; `seed` determines faults and delays.
     message_bag(std::uint64_t seed, message_bag_rules rules)
         : random_(seed)
         , rules_(rules)
     {
     }
 
-    /// Changes the rules for messages sent from now on; a drop of 1.0 is a partition.
+    /// Replaces the rules for messages sent from now on; `drop` 1.0 is a partition.
     void change(message_bag_rules rules) { rules_ = rules; }
 
-    /// Puts a message on its way: it may be lost, late or doubled.
+    /// Sends a message, which may be lost, delayed or duplicated.
     void send(instant now, const Message& message)
     {
         if (random_.chance(rules_.drop)) {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// When the next message arrives; nothing if none is under way.
+    /// Arrival time of the next message; nothing if none is in flight.
     [[nodiscard]] auto next_arrival() const -> std::optional<instant>
     {
         const entry* first = nullptr;
@@ -63,8 +63,8 @@
         return first == nullptr ? std::nullopt : std::optional(first->arrival);
     }
 
-    /// Takes the earliest message that has arrived by `now` and that `ready(message)` is true for. Messages
-    /// to a paused part stay, since `ready` refuses them.
+    /// Removes and returns the earliest message that has arrived by `now` and for which `ready(message)` is
+    /// true. Messages to a paused component stay queued if `ready` rejects them.
     template <typename Ready>
     [[nodiscard]] auto take(instant now, Ready ready) -> std::optional<Message>
     {
@@ -83,13 +83,13 @@
         return message;
     }
 
-    /// Takes the earliest message that has arrived by `now`.
+    /// Removes and returns the earliest message that has arrived by `now`.
     [[nodiscard]] auto take(instant now) -> std::optional<Message>
     {
         return take(now, [](const Message&) { return true; });
     }
 
-    /// Loses every message under way that `lost(message)` is true for, as when a connection is cut.
+    /// Drops every message in flight for which `lost(message)` is true, as on a broken connection.
     template <typename Lost>
     void lose(Lost lost)
     {
@@ -98,9 +98,9 @@
         dropped_ += before_count - entries_.size();
     }
 
-    /// Messages under way.
+    /// Number of messages in flight.
     [[nodiscard]] auto size() const -> std::size_t { return entries_.size(); }
-    /// Messages lost so far.
+    /// Number of messages lost so far.
     [[nodiscard]] auto dropped() const -> std::uint64_t { return dropped_; }
 
 private:
--- a/tests/support/schedule_seeds.h
+++ b/tests/support/schedule_seeds.h
@@ -15,12 +15,13 @@
 
 namespace dragonflymill::test {
 
-/// Names the environment variable that reruns one seed of a schedule test.
+/// Environment variable that restricts a schedule test to one seed.
 inline constexpr const char* seed_variable = "DRAGONFLYMILL_SEED";
 
 namespace detail {
 
-/// Line that an aborted run prints, written before each seed since a signal handler can't format.
+/// Message that an aborted run prints. Formatted before each seed, since a signal handler must not format
+/// text.
 inline char rerun_line[256] = "";
 
 inline void print_rerun_line(int /*signal*/)
@@ -36,10 +37,10 @@
 
 } // namespace detail
 
-/// Runs `run(seed)` for seeds 1 to `count` and for the `known` ones that found a fault before, or only for
-/// the seed in DRAGONFLYMILL_SEED. `run` gives nothing, or what it found broken; then the test fails and the
-/// command to rerun that seed is printed, also when an assertion in the code under test ends the program.
-/// `program` and `filter` are for that command.
+/// Runs `run(seed)` for the regression seeds in `known` and for seeds 1 to `count`, or only for the seed in
+/// DRAGONFLYMILL_SEED. `run` returns nothing, or a description of the violation, which fails the test and
+/// prints the command that reruns the seed; the command is also printed when an assertion in the code under
+/// test aborts the program. `program` and `filter` are parts of that command.
 template <typename Run>
 void run_schedules(std::uint64_t count, const char* program, const char* filter, Run run,
                    std::initializer_list<std::uint64_t> known = {})
--- a/tests/support/standin_upstream.h
+++ b/tests/support/standin_upstream.h
@@ -13,7 +13,7 @@
 
 namespace dragonflymill::test_support {
 
-/// A connection that a stand-in upstream took, and what came on it.
+/// A connection that a stand-in upstream has accepted, and the bytes received on it.
 struct taken_connection : std::enable_shared_from_this<taken_connection>
 {
     explicit taken_connection(boost::asio::ip::tcp::socket accepted)
@@ -21,7 +21,7 @@
     {
     }
 
-    /// Whether head and stated body are there.
+    /// Whether the head and a body of `Content-Length` bytes have been received.
     [[nodiscard]] auto whole() const -> bool
     {
         const auto head = received.find("\r\n\r\n");
@@ -34,7 +34,7 @@
     }
     void send(const std::string& bytes) { boost::asio::write(socket, boost::asio::buffer(bytes)); }
     void close() { socket.close(); }
-    /// Closes so that the other side sees a reset.
+    /// Closes the connection with a TCP reset.
     void reset()
     {
         socket.set_option(boost::asio::socket_base::linger(true, 0));
@@ -43,11 +43,11 @@
 
     boost::asio::ip::tcp::socket socket;
     std::string received;
-    bool ended = false; ///< The gateway has closed it.
+    bool ended = false; ///< The peer has closed the connection, or reading failed.
     std::array<char, 4096> buffer{};
 };
 
-/// An upstream that does what a test tells it to for each whole request.
+/// An HTTP upstream on loopback that calls a handler of the test for each complete request.
 class standin_upstream
 {
 public:
@@ -64,7 +64,7 @@
     {
         return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port());
     }
-    /// Connections on which a whole request came.
+    /// Connections on which a complete request was received.
     std::vector<std::shared_ptr<taken_connection>> requests;
 
 private:
--- a/tests/support/tcp_relay.cpp
+++ b/tests/support/tcp_relay.cpp
@@ -12,7 +12,7 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-/// Two sockets and what goes from each to the other.
+/// A pair of sockets, relayed in both directions.
 class tcp_relay::connection : public std::enable_shared_from_this<connection>
 {
 public:
@@ -54,7 +54,7 @@
     void on_read(direction way, error_code failure, std::size_t size)
     {
         if (is_cut_) {
-            return; // also an end is not passed on
+            return; // a close is not relayed either
         }
         if (failure) {
             close();
--- a/tests/support/tcp_relay.h
+++ b/tests/support/tcp_relay.h
@@ -9,22 +9,22 @@
 
 namespace dragonflymill::test_support {
 
-/// A way between two processes that can be cut: what is open then stays open and carries nothing more, and
-/// what is opened before it heals likewise. Works on a thread of its own.
+/// A TCP relay between two processes that simulates a partition: connections that are open at a cut, or
+/// opened before it heals, stay open but carry nothing more. Runs on its own thread.
 class tcp_relay
 {
 public:
-    /// Passes connections on to `target`, an IP number with a port.
+    /// Relays connections to `target`, an IP address with a port.
     explicit tcp_relay(const std::string& target);
     tcp_relay(const tcp_relay&) = delete;
     auto operator=(const tcp_relay&) -> tcp_relay& = delete;
     ~tcp_relay();
 
-    /// Where it listens.
+    /// Address and port on which the relay listens.
     [[nodiscard]] auto address() const -> const std::string& { return address_; }
-    /// From now on nothing gets through.
+    /// Stops relaying on all connections.
     void cut();
-    /// New connections get through again; those from before never do.
+    /// Relays new connections again; earlier ones stay cut.
     void heal();
 
 private:
--- a/tests/support/virtual_time.h
+++ b/tests/support/virtual_time.h
@@ -4,7 +4,7 @@
 
 namespace dragonflymill::test {
 
-/// The moment of a test's virtual clock that is `since` after its start.
+/// The instant `since` after the start of a test's virtual clock.
 inline auto at(duration since) -> instant
 {
     return instant(since);
