--- a/tests/bench/account_share_bench.cpp
+++ b/tests/bench/account_share_bench.cpp
@@ -1,7 +1,7 @@
-// Account limits over many gateways, decision parts on a virtual clock: every figure repeats to the digit.
-// How far the enforced rate is off with 2, 8 and 32 gateways, in peace, in a partition and after a gateway's
-// death; and how many asks for shares one gateway of 2, 8, 32 and 410 sends for 1,500 accounts, with their
-// bytes.
+// Account rate limits shared by many gateways, on a virtual clock, so all figures are reproducible exactly.
+// Measures the error of the enforced rate with 2, 8 and 32 gateways: without faults, in a partition and after
+// the death of a gateway. Also measures the share requests, and their bytes, that one gateway of 2, 8, 32 and
+// 410 sends for 1,500 accounts.
 
 #include "limit/limiter_simulation.h"
 #include "peer.pb.h"
@@ -14,7 +14,8 @@
 namespace {
 
 constexpr double limit = limiter_simulation::limit;
-/// gRPC and HTTP/2 frames and header fields that repeat, and TCP and IP headers of two segments each way.
+/// Bytes of gRPC and HTTP/2 framing and repeated header fields, and of TCP and IP headers of two segments in
+/// each direction.
 constexpr std::size_t call_overhead = 350;
 
 auto percent(double rate) -> double
@@ -27,7 +28,7 @@
     limiter_simulation even(size, 1);
     std::fill(even.demand.begin(), even.demand.end(), 3 * limit / static_cast<double>(size));
     even.run(20s);
-    const auto peace = even.run(60s);
+    const auto undisturbed = even.run(60s);
     const auto cut = size * 2 / 5;
     std::fill_n(even.side.begin(), cut, 1);
     even.spread_membership();
@@ -45,12 +46,13 @@
     one.demand[0] = 3 * limit;
     one.run(20s);
     const auto alone = one.run(60s);
-    std::printf("| %zu | %.1f | %.1f | %.1f | %.1f | %.1f | %.1f |\n", size, percent(peace), percent(alone),
-                percent(parting), percent(apart), percent(after_death), percent(later));
+    std::printf("| %zu | %.1f | %.1f | %.1f | %.1f | %.1f | %.1f |\n", size, percent(undisturbed),
+                percent(alone), percent(parting), percent(apart), percent(after_death), percent(later));
 }
 
-/// One gateway among `size` with 24 requests a second over `accounts` accounts; homes grant equal parts.
-void measure_asks(std::size_t size, std::size_t accounts, double requests_per_second)
+/// Measures one of `size` gateways that spreads its requests over `accounts` accounts; the owners grant equal
+/// shares.
+void measure_share_requests(std::size_t size, std::size_t accounts, double requests_per_second)
 {
     bundle value;
     for (std::size_t at = 0; at < accounts; ++at) {
@@ -115,8 +117,8 @@
     std::puts("| gateways | accounts | requests/s | messages/s | accounts asked about/s | bytes/s |\n"
               "|--:|--:|--:|--:|--:|--:|");
     for (const std::size_t size : {2, 8, 32, 410}) {
-        measure_asks(size, 1'500, 24);
+        measure_share_requests(size, 1'500, 24);
     }
-    measure_asks(410, 30, 24);
+    measure_share_requests(410, 30, 24);
     return 0;
 }
--- a/tests/bench/counting_relay.h
+++ b/tests/bench/counting_relay.h
@@ -12,18 +12,18 @@
 
 namespace dragonflymill::test {
 
-/// What passed in one direction.
+/// Counts of one direction.
 struct passed_bytes
 {
-    std::atomic<std::uint64_t> bytes{0};  ///< Payload of TCP.
-    std::atomic<std::uint64_t> pieces{0}; ///< Reads that found something: about one for each segment.
+    std::atomic<std::uint64_t> bytes{0};  ///< TCP payload in bytes.
+    std::atomic<std::uint64_t> pieces{0}; ///< Non-empty reads; approximately one for each segment.
 };
 
-/// Passes connections on to one address on loopback and counts what passes.
+/// Relays connections to a loopback port and counts the relayed bytes.
 class counting_relay
 {
 public:
-    /// Passes on to `port`.
+    /// Relays to `port`.
     explicit counting_relay(int port)
         : target_(boost::asio::ip::make_address("127.0.0.1"), static_cast<std::uint16_t>(port))
         , acceptor_(thread_.context(), {boost::asio::ip::make_address("127.0.0.1"), 0})
@@ -38,8 +38,8 @@
         return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port());
     }
 
-    passed_bytes up;   ///< Towards the target.
-    passed_bytes down; ///< Back from it.
+    passed_bytes up;   ///< To the target.
+    passed_bytes down; ///< From the target.
 
 private:
     using tcp = boost::asio::ip::tcp;
--- a/tests/bench/direct_decision_bench.cpp
+++ b/tests/bench/direct_decision_bench.cpp
@@ -1,5 +1,6 @@
-// Microseconds of a direct gateway's work in fleets of several sizes: placing a short and a long prompt, a
-// round of long calls that find no room, and taking another gateway's digest. Prints Markdown.
+// Measures a direct gateway's decisions in fleets of several sizes, in microseconds: placing a short and a
+// long prompt, a round of long calls for which no engine has capacity, and applying another gateway's digest.
+// Prints Markdown.
 #include "dragonflymill/core/stable_hash.h"
 #include "dragonflymill/direct/call_dispatcher.h"
 #include "dragonflymill/direct/peer_message.h"
@@ -48,7 +49,8 @@
     return fleet;
 }
 
-/// Some of one gateway's work: a call at every fifth engine.
+/// Load report of one gateway with `calls_each` calls at every 25th engine, or every 100th if the report is
+/// not complete.
 auto report_of(int gateway, std::uint64_t sequence, int engines, int calls_each, bool whole) -> load_report
 {
     load_report report{"gateway-" + std::to_string(gateway) + "#1764756138000000", sequence, whole, {}};
@@ -61,16 +63,16 @@
     return report;
 }
 
-auto call(std::uint64_t id, std::int64_t prompt, duration aim, duration pause) -> waiting_call
+auto call(std::uint64_t id, std::int64_t prompt, duration latency_target, duration tbt_target) -> waiting_call
 {
     waiting_call made;
     made.id = id;
     made.service = service_name;
     made.prompt_tokens = prompt;
     made.answer_tokens = 1'600;
-    made.tbt_target = pause;
-    made.latency_target_at = start + aim;
-    made.aim = aim;
+    made.tbt_target = tbt_target;
+    made.latency_target_at = start + latency_target;
+    made.aim = latency_target;
     made.client_timeout_at = start + 10s;
     made.deadline_at = start + 15s;
     made.queue_timeout_at = start + 10s;
@@ -100,9 +102,9 @@
         return made;
     };
     call_dispatcher usual = dispatcher_with(1);
-    const auto place = [&](std::int64_t prompt, duration aim, duration pause) {
+    const auto place = [&](std::int64_t prompt, duration latency_target, duration tbt_target) {
         return microseconds(300, [&](int i) {
-            usual.add(call(static_cast<std::uint64_t>(i), prompt, aim, pause));
+            usual.add(call(static_cast<std::uint64_t>(i), prompt, latency_target, tbt_target));
             const dispatch_round round = usual.decide(fleet, start);
             for (const dispatch_assignment& order : round.orders) {
                 usual.finish(order.placed, start);
--- a/tests/bench/gateway_decision_bench.cpp
+++ b/tests/bench/gateway_decision_bench.cpp
@@ -1,5 +1,5 @@
-// Nanoseconds and bytes of a routing decision, and of an overload decision, with 16, 150 and 600 upstreams in
-// the table, and bytes of the state behind it. Prints Markdown.
+// Measures time in nanoseconds and allocated bytes of a routing decision and of an overload decision, with
+// 16, 150 and 600 upstreams in the table, and the bytes of their state. Prints Markdown.
 #include "dragonflymill/route/baseline_policies.h"
 #include "dragonflymill/route/predicted_first_token.h"
 #include "dragonflymill/route/router.h"
@@ -13,12 +13,12 @@
 
 namespace {
 
-std::size_t allocated = 0; // bytes asked for so far
-std::size_t live = 0;      // bytes not yet given back
+std::size_t allocated = 0; // bytes allocated so far, in total
+std::size_t live = 0;      // bytes not yet freed
 
 } // namespace
 
-// Counts what the decision parts ask for. The size stands in front of each block.
+// Counts the allocations of the decision code. The size is stored in front of each block.
 auto operator new(std::size_t size) -> void*
 {
     constexpr std::size_t header = alignof(std::max_align_t);
@@ -124,7 +124,8 @@
     }
 }
 
-/// One offer to the overload decisions of a gateway while its upstreams have too much, and what they keep.
+/// Measures one overload decision of a gateway with overloaded upstreams, and the memory of the decision
+/// state.
 void measure_overload(std::size_t upstreams, std::size_t accounts)
 {
     upstream_table table;
--- a/tests/bench/gateway_intake_bench.cpp
+++ b/tests/bench/gateway_intake_bench.cpp
@@ -1,5 +1,5 @@
-// What one request costs a gateway from its body to the deciding thread, at several prompt lengths: time,
-// memory that stays while it is in hand, and the peak on the way.
+// Measures the cost of one request in a gateway, from its body to the decision thread, at several prompt
+// lengths: time, memory held while the request is in flight, and peak memory during parsing.
 
 #include "dragonflymill/route/prompt_blocks.h"
 #include "gateway/completion_request.h"
@@ -30,7 +30,7 @@
     return body;
 }
 
-/// A line of this process's status in KiB.
+/// A field of /proc/self/status in KiB.
 auto status_kib(const std::string& name) -> std::size_t
 {
     std::ifstream status("/proc/self/status");
--- a/tests/bench/gateway_overload_bench.cpp
+++ b/tests/bench/gateway_overload_bench.cpp
@@ -1,5 +1,6 @@
-// A gateway's overload decisions (serve/overload_controller) before sixteen engine fakes on a virtual clock,
-// with each policy and with none, same seeds. Prints Markdown; the figures repeat to the digit.
+// Simulates a gateway's overload decisions (serve/overload_controller) with sixteen simulated engines on a
+// virtual clock, with each shedding policy and without one, on the same seeds. Prints Markdown; figures are
+// reproducible exactly.
 #include "rig_contenders.h"
 
 #include <iostream>
--- a/tests/bench/gateway_serving_bench.cpp
+++ b/tests/bench/gateway_serving_bench.cpp
@@ -1,6 +1,6 @@
-// One gateway's decision parts before sixteen engine fakes on a virtual clock: our policies and the baselines
-// with the same seeds. Prints Markdown, and writes serving.csv and serving.svg into the folder given. The
-// figures repeat to the digit.
+// Simulates one gateway's decisions with sixteen simulated engines on a virtual clock, with the project's
+// policies and the baselines on the same seeds. Prints Markdown, and writes serving.csv and serving.svg into
+// the given folder. Figures are reproducible exactly.
 #include "rig_contenders.h"
 
 #include <iostream>
--- a/tests/bench/heartbeat_bench.cpp
+++ b/tests/bench/heartbeat_bench.cpp
@@ -1,7 +1,7 @@
-// What heartbeats cost a gateway: real gRPC between one process's sidecar links and a sidecar's server,
-// through a relay on loopback that counts TCP's payload and the pieces it comes in. Each link is put to one
-// upstream of its own, all behind the same server. Idle, and with a try on each link that waits without a
-// word.
+// Measures the network cost of heartbeats for a gateway: real gRPC between the sidecar links of one process
+// and a sidecar's server, through a loopback relay that counts TCP payload and reads. Each link belongs to
+// its own upstream, all behind the same server. Measured with idle links, and with one silent attempt in
+// flight on each.
 
 #include "bench/counting_relay.h"
 #include "gateway/sidecar_link.h"
@@ -22,7 +22,8 @@
 constexpr duration tick_interval = 10ms;
 constexpr duration settling_time = 3s;
 constexpr duration measurement_time = 10s;
-/// IPv4 and TCP headers with time stamps, for each segment; as much again for an acknowledgement of its own.
+/// Bytes of IPv4 and TCP headers with time stamps, for each segment and again for its separate
+/// acknowledgement.
 constexpr double header_bytes = 52;
 
 auto answer_heartbeat(const sidecar::shell_event& event) -> bool
@@ -47,7 +48,7 @@
     return true;
 }
 
-/// The links of one gateway.
+/// One gateway's links to `count` upstreams.
 class gateway_links
 {
 public:
--- a/tests/bench/rig_contenders.h
+++ b/tests/bench/rig_contenders.h
@@ -9,28 +9,28 @@
 
 namespace dragonflymill::rig {
 
-/// Seeds of a cell.
+/// Number of seeds per cell.
 inline constexpr std::size_t seed_count = 4;
-/// Requests of a seed.
+/// Number of requests per seed.
 inline constexpr std::size_t request_count = 12'000;
-/// Cells run side by side.
+/// Number of cells that run in parallel.
 inline constexpr std::size_t thread_count = 4;
 
-/// What is compared.
+/// Policies under comparison.
 enum class contender
 {
-    ours,               ///< Our routing, lanes and shedding.
-    ours_without_lanes, ///< The same with nothing reserved.
+    ours,               ///< The gateway's routing, lanes and load shedding.
+    ours_without_lanes, ///< As `ours`, with no engines reserved for short prompts.
     power_of_two,       ///< Routing baseline.
     least_outstanding,  ///< Routing baseline.
     round_robin,        ///< Routing baseline.
-    one_queue,          ///< The same with a queue instead of priorities.
-    random,             ///< Ours, but for random shedding.
-    priority,           ///< Ours, but for shedding by priority.
-    none,               ///< Ours, but nothing is refused or paused.
+    one_queue,          ///< Round robin, with one queue per engine instead of priorities.
+    random,             ///< As `ours`, with random shedding.
+    priority,           ///< As `ours`, with shedding by priority.
+    none,               ///< As `ours`, with nothing refused or paused.
 };
 
-/// As it stands in tables.
+/// Name of a contender in tables.
 inline auto name_of(contender who) -> const char*
 {
     switch (who) {
@@ -56,14 +56,14 @@
     return "";
 }
 
-/// What one world gave.
+/// Result of one simulation.
 struct run_result
 {
-    std::vector<outcome> outcomes; ///< What became of each request.
-    double busy = 0.0;             ///< Busy part of the engines.
+    std::vector<outcome> outcomes; ///< Outcome of each request.
+    double busy = 0.0;             ///< Fraction of the engines' time in steps that prefill.
 };
 
-/// One world with these policies.
+/// Runs one simulation with the given policies.
 template <overload_policy Overload = contribution_shedding, routing_policy Policy>
 auto run_with(const world_settings& settings, Policy policy, std::uint64_t seed,
               const std::vector<rig_request>& traffic) -> run_result
@@ -75,7 +75,7 @@
     return result;
 }
 
-/// The routing that gateways use.
+/// The routing policy that gateways use.
 inline auto our_routing() -> predicted_first_token
 {
     predicted_first_token_settings settings;
@@ -84,7 +84,7 @@
     return predicted_first_token(settings);
 }
 
-/// One contender before one traffic.
+/// Runs one contender on one sequence of requests.
 inline auto run_one(contender who, std::uint64_t seed, const std::vector<rig_request>& traffic) -> run_result
 {
     world_settings settings;
@@ -110,7 +110,7 @@
     }
 }
 
-/// The same requests with the long ones left out.
+/// The same requests without the long ones, renumbered.
 inline auto short_ones(std::vector<rig_request> traffic) -> std::vector<rig_request>
 {
     std::erase_if(traffic, [](const rig_request& each) { return each.bucket >= short_buckets; });
@@ -120,7 +120,7 @@
     return traffic;
 }
 
-/// One contender at one load, all seeds.
+/// Runs one contender at one load (percent) with all seeds.
 inline auto run_cell(contender who, int load) -> cell
 {
     cell made;
@@ -138,7 +138,7 @@
     return made;
 }
 
-/// Runs every contender at every load, a few cells side by side; each is a world of its own.
+/// Runs every contender at every load, several cells in parallel; cells share no state.
 inline auto run_cells(const std::vector<contender>& who, const std::vector<int>& at) -> std::vector<cell>
 {
     std::vector<cell> cells(who.size() * at.size());
--- a/tests/bench/rig_engine.h
+++ b/tests/bench/rig_engine.h
@@ -14,48 +14,49 @@
 
 namespace dragonflymill::rig {
 
-/// Engine priorities: one for each length class, and one for overnight work.
+/// Number of engine priorities: one for each length class, and one for overnight work.
 inline constexpr std::size_t priority_count = length_class_count + 1;
 
-/// Speeds and sizes of an engine.
+/// Speed and capacity of a simulated engine.
 struct engine_settings
 {
-    double prefill_rate = 40'000.0;          ///< Tokens a second.
-    token_count chunk = 512;                 ///< Tokens of prefill in one step.
-    duration step{8'000};                    ///< A step with nothing in it.
-    duration step_per_request{100};          ///< Added by each request in decode.
-    double step_us_per_context_token = 5e-3; ///< Added by the context of the requests in decode.
-    double depth_doubling = 1e6;             ///< Depth in a prompt at which prefill takes twice the time.
-    token_count memory = 450'000;            ///< Tokens of context.
-    token_count cache = 400'000;             ///< Tokens of prefix cache beside it.
-    double short_memory = 0.1;               ///< Part of the memory that only interactive requests may take.
-    bool one_queue = false;                  ///< One queue in order of arrival, instead of priorities.
-    duration report_lag{200'000};            ///< Age of a load report when it leaves the engine.
+    double prefill_rate = 40'000.0;          ///< Tokens per second.
+    token_count chunk = 512;                 ///< Tokens of prefill per step.
+    duration step{8'000};                    ///< Duration of an empty step.
+    duration step_per_request{100};          ///< Added to a step by each decoding request.
+    double step_us_per_context_token = 5e-3; ///< Added by each context token in decode.
+    double depth_doubling = 1e6;             ///< Prompt position at which prefill takes twice the time.
+    token_count memory = 450'000;            ///< KV cache for running requests, in tokens.
+    token_count cache = 400'000;             ///< Additional prefix cache, in tokens.
+    double short_memory = 0.1;               ///< Fraction of the memory reserved for interactive requests.
+    bool one_queue = false;                  ///< One FIFO queue instead of priorities.
+    duration report_lag{200'000};            ///< Age of a load report when the engine sends it.
 };
 
-/// One try at a request, or one span of a gang's prompt.
+/// One attempt at a request, or one span of a gang's prompt.
 struct engine_job
 {
     std::uint32_t id = 0;                          ///< Index of the request.
-    std::size_t priority = 0;                      ///< 0 goes first.
-    length_class size = length_class::interactive; ///< For the load report.
-    token_count begin = 0;    ///< Place in the prompt where prefill starts: cached, or held by other engines.
-    token_count end = 0;      ///< Place where it ends.
-    token_count output = 0;   ///< Tokens to decode; 0 for a gang's inner span.
-    token_count memory = 0;   ///< Context it takes here; 0 if a gang's share holds it.
-    token_count produced = 0; ///< Tokens decoded.
-    bool has_memory = false;  ///< Whether its memory is taken.
+    std::size_t priority = 0;                      ///< Queue; 0 is served first.
+    length_class size = length_class::interactive; ///< Length class in the load report.
+    token_count begin = 0;  ///< Prompt position where prefill starts; the tokens before it are cached or held
+                            ///< by other engines.
+    token_count end = 0;    ///< Prompt position where prefill ends.
+    token_count output = 0; ///< Tokens to decode; 0 for an inner span of a gang.
+    token_count memory = 0; ///< Context memory on this engine in tokens; 0 if a gang's share covers it.
+    token_count produced = 0; ///< Tokens decoded so far.
+    bool has_memory = false;  ///< Whether its memory is allocated.
 };
 
-/// What a step of an engine brought.
+/// Progress of a request in one step.
 struct engine_event
 {
-    std::uint32_t id = 0;   ///< The request.
-    bool prefilled = false; ///< Its prefill ended: its first token, or its span, is there.
-    bool ended = false;     ///< Its last token is there.
+    std::uint32_t id = 0;   ///< Index of the request.
+    bool prefilled = false; ///< Prefill finished: the first token or the span is complete.
+    bool ended = false;     ///< The last token was decoded.
 };
 
-/// Keys of prompts whose beginning is cached, the least recently used go first.
+/// Prefix cache by key, with least recently used eviction.
 class engine_cache
 {
 public:
@@ -64,14 +65,14 @@
     {
     }
 
-    /// Tokens cached under `key`.
+    /// Number of tokens cached under `key`.
     [[nodiscard]] auto cached(std::uint64_t key) const -> token_count
     {
         const auto found = index_.find(key);
         return found == index_.end() ? 0 : found->second->second;
     }
 
-    /// Caches `tokens` under `key`, or notes that they were used.
+    /// Caches `tokens` under `key`, or marks the entry as recently used and extends it.
     void store(std::uint64_t key, token_count tokens)
     {
         const auto found = index_.find(key);
@@ -100,8 +101,8 @@
     std::map<std::uint64_t, std::list<entry>::iterator> index_;
 };
 
-/// An engine that batches continuously: each step decodes one token of every running request and prefills one
-/// chunk.
+/// A simulated engine with continuous batching: each step decodes one token of every running request and
+/// prefills one chunk.
 class engine
 {
 public:
@@ -118,8 +119,8 @@
     {
         return settings_.memory - memory_used_ - reserved_;
     }
-    /// Memory that a request of a class may take: a part is kept for interactive ones, as a sidecar's permits
-    /// do.
+    /// Free memory in tokens for a request of a class. As with a sidecar's permits, a fraction is reserved
+    /// for interactive requests.
     [[nodiscard]] auto memory_for(length_class size) const -> token_count
     {
         const bool all = settings_.one_queue || size == length_class::interactive;
@@ -127,22 +128,22 @@
             static_cast<token_count>(settings_.short_memory * static_cast<double>(settings_.memory));
         return memory_free() - (all ? 0 : kept);
     }
-    /// Time spent in steps that prefill.
+    /// Total time spent in steps that prefill.
     [[nodiscard]] auto busy() const -> duration { return busy_; }
 
     void submit(const engine_job& job) { queues_[settings_.one_queue ? 0 : job.priority].push_back(job); }
 
-    /// Reserves, or gives back if negative, memory for a gang.
+    /// Reserves memory for a gang, or releases it if negative; in tokens.
     void reserve(token_count tokens) { reserved_ += tokens; }
-    /// Memory that gangs could have if no other prompt had any.
+    /// Free memory for gangs if no other request held any, in tokens.
     [[nodiscard]] auto gang_room() const -> token_count
     {
         return memory_for(length_class::gang) + memory_used_;
     }
-    /// Lets no bulk prompt in until then: a gang waits in line for memory.
+    /// Blocks new bulk prompts until `until`, while a gang waits in the queue for memory.
     void keep_out_bulk(instant until) { no_bulk_until_ = until; }
 
-    /// Drops a request; the tokens of its prompt that were prefilled here.
+    /// Removes a request; returns how many tokens of its prompt were prefilled here.
     auto cancel(std::uint32_t id) -> token_count
     {
         const auto same = [id](const engine_job& job) { return job.id == id; };
@@ -164,7 +165,7 @@
         return done;
     }
 
-    /// Begins a step; how long it takes.
+    /// Starts a step and returns its duration.
     auto begin_step(instant now = instant{}) -> duration
     {
         now_ = now;
@@ -180,7 +181,7 @@
         return taken;
     }
 
-    /// Ends the step that was begun.
+    /// Ends the current step.
     auto end_step() -> std::vector<engine_event>
     {
         stepping_ = false;
@@ -205,7 +206,7 @@
         return events;
     }
 
-    /// Load as it is now.
+    /// Current load.
     [[nodiscard]] auto load() const -> upstream_load
     {
         upstream_load load;
@@ -220,7 +221,7 @@
         return load;
     }
 
-    /// Notes the load for later reports.
+    /// Records the load for later reports.
     void note_load(instant now)
     {
         history_.emplace_back(now, load());
@@ -229,7 +230,7 @@
         }
     }
 
-    /// The load report that leaves the engine now: it lags.
+    /// Load report that the engine sends at `now`; it lags by `report_lag`.
     [[nodiscard]] auto report(instant now) const -> upstream_load
     {
         upstream_load load = history_.front().second;
@@ -247,7 +248,8 @@
         return count;
     }
 
-    /// Prefills up to a chunk from the first queues that can go on; the time it takes in microseconds.
+    /// Prefills up to one chunk, by priority, from queues whose head fits into memory; returns the
+    /// microseconds.
     auto prefill_chunk() -> double
     {
         token_count budget = settings_.chunk;
@@ -302,7 +304,7 @@
     engine_cache cache_;
     std::array<std::deque<engine_job>, priority_count> queues_;
     std::vector<engine_job> decoding_;
-    std::vector<engine_job> prefilled_; // in the step under way
+    std::vector<engine_job> prefilled_; // in the current step
     std::size_t in_step_ = 0;
     token_count context_ = 0;
     token_count memory_used_ = 0;
--- a/tests/bench/rig_events.h
+++ b/tests/bench/rig_events.h
@@ -9,40 +9,40 @@
 
 namespace dragonflymill::rig {
 
-/// What happens at a moment of the virtual clock.
+/// Kind of an event on the virtual clock.
 enum class event_kind
 {
-    arrival, ///< A request comes.
+    arrival, ///< A request arrives.
     step,    ///< An engine ends a step.
-    tick,    ///< Time passes for the gateway.
+    tick,    ///< The gateway's periodic tick.
 };
 
-/// Something that happens at a moment.
+/// A scheduled event.
 struct event
 {
-    instant at;                         ///< The moment.
-    std::uint64_t number = 0;           ///< Order among those of one moment.
-    event_kind kind = event_kind::tick; ///< What happens.
-    std::uint32_t index = 0;            ///< The request or engine.
+    instant at;                         ///< Virtual time of the event.
+    std::uint64_t number = 0;           ///< Order among events of the same time.
+    event_kind kind = event_kind::tick; ///< Kind of the event.
+    std::uint32_t index = 0;            ///< Index of the request or engine.
 };
 
-/// What is still to happen, in order of time; what was pushed first comes first in one moment.
+/// Pending events in order of time; events of the same time keep the order in which they were pushed.
 class event_queue
 {
 public:
-    /// Adds what is to happen.
+    /// Schedules an event.
     void push(instant at, event_kind kind, std::uint32_t index)
     {
         events_.push({at, number_++, kind, index});
     }
-    /// Takes out what comes next.
+    /// Removes and returns the next event.
     auto pop() -> event
     {
         const event next = events_.top();
         events_.pop();
         return next;
     }
-    /// Whether nothing is to come.
+    /// Whether no event is pending.
     [[nodiscard]] auto empty() const -> bool { return events_.empty(); }
 
 private:
--- a/tests/bench/rig_gang_shares.h
+++ b/tests/bench/rig_gang_shares.h
@@ -11,11 +11,11 @@
 
 namespace dragonflymill::rig {
 
-/// What engines have reserved for gangs, and which gang waits in line at each.
+/// Memory reserved for gangs at each engine, and the gang that waits in its queue.
 class gang_shares
 {
 public:
-    /// Reserves at `engines`, which the owner keeps alive; with one queue no gang waits in line.
+    /// Reserves at `engines`, which must outlive this object; with `one_queue` gangs never wait in a queue.
     gang_shares(std::vector<engine>& engines, bool one_queue)
         : engines_(engines)
         , lines_(engines.size())
@@ -23,7 +23,7 @@
     {
     }
 
-    /// Answers a gang that asks for a share of engine `i`.
+    /// Grants or refuses a gang's request for a share of engine `i`.
     auto reserve(instant now, std::size_t i, const reserve_share& wanted)
         -> std::variant<share_granted, share_refused>
     {
@@ -36,7 +36,7 @@
         return share_granted{wanted.gang, wanted.upstream, lease_id(1), wanted.ask};
     }
 
-    /// Gives back a share, and the place in line.
+    /// Releases a share and the place in the queue.
     void release(instant now, std::size_t i, const release_share& released)
     {
         leave_line(now, i, released.gang);
@@ -48,7 +48,7 @@
     }
 
 private:
-    /// Refuses a share; puts it in line if only other prompts are in its way and no other gang waits there.
+    /// Refuses a share, and queues the gang if only other prompts block it and no other gang is queued there.
     auto refuse(instant now, std::size_t i, const reserve_share& wanted) -> share_refused
     {
         auto& line = lines_[i];
@@ -72,7 +72,7 @@
 
     std::vector<engine>& engines_;
     std::map<std::pair<gang_key, std::size_t>, token_count> held_;
-    std::vector<std::optional<std::pair<gang_key, instant>>> lines_; // gang at each engine, until when
+    std::vector<std::optional<std::pair<gang_key, instant>>> lines_; // queued gang and its limit
     bool one_queue_;
 };
 
--- a/tests/bench/rig_report.h
+++ b/tests/bench/rig_report.h
@@ -9,7 +9,7 @@
 
 namespace dragonflymill::rig {
 
-/// p50, p95 and p99 of some values.
+/// Median, 95th and 99th percentile.
 struct percentiles
 {
     double p50 = 0.0;
@@ -18,7 +18,7 @@
     std::size_t count = 0;
 };
 
-/// The percentiles of `values`; zeros if there are none.
+/// Percentiles of `values`; zeros if it is empty.
 inline auto percentiles_of(std::vector<double> values) -> percentiles
 {
     if (values.empty()) {
@@ -31,20 +31,20 @@
     return {at(0.50), at(0.95), at(0.99), values.size()};
 }
 
-/// The outcomes of one policy at one load, one entry a seed.
+/// Outcomes of one policy at one load, with one entry per seed.
 struct cell
 {
     std::string policy;                       ///< Name of the policy.
     int load = 0;                             ///< Offered load in percent.
     std::vector<std::vector<outcome>> seeds;  ///< Outcomes of each seed.
-    std::vector<std::vector<outcome>> shorts; ///< The same with the short requests only.
-    std::vector<double> busy;                 ///< Busy part of each seed.
+    std::vector<std::vector<outcome>> shorts; ///< Outcomes of the runs with short requests only.
+    std::vector<double> busy; ///< Fraction of the engines' time in steps that prefill, for each seed.
 };
 
-/// What a measure takes from an outcome; nothing if the outcome does not count.
+/// Extracts a value from an outcome; nothing if the outcome does not count.
 using measure = std::function<std::optional<double>(const outcome&)>;
 
-/// The values of a measure in one seed.
+/// Values of a measure in one seed.
 inline auto values_of(const std::vector<outcome>& seed, const measure& take) -> std::vector<double>
 {
     std::vector<double> values;
@@ -57,7 +57,7 @@
     return values;
 }
 
-/// The values of a measure in all seeds.
+/// Values of a measure in all seeds.
 inline auto values_of(const std::vector<std::vector<outcome>>& seeds, const measure& take)
     -> std::vector<double>
 {
@@ -69,7 +69,7 @@
     return values;
 }
 
-/// The lowest and the highest p99 of a measure over the seeds.
+/// Lowest and highest p99 of a measure over the seeds.
 inline auto p99_spread(const std::vector<std::vector<outcome>>& seeds, const measure& take)
     -> std::pair<double, double>
 {
@@ -81,7 +81,7 @@
     return spread;
 }
 
-/// Time to the first token in seconds, of one bucket.
+/// Time to first token in seconds, in one bucket, without overnight work.
 inline auto first_token_in(std::size_t bucket) -> measure
 {
     return [bucket](const outcome& each) -> std::optional<double> {
@@ -92,7 +92,7 @@
     };
 }
 
-/// First-token time of the short requests in seconds.
+/// Time to first token of short requests in seconds.
 inline auto short_first_token(const outcome& each) -> std::optional<double>
 {
     if (each.bucket >= short_buckets || !each.first_token) {
@@ -101,7 +101,7 @@
     return static_cast<double>(each.first_token->count()) / 1e6;
 }
 
-/// Time of the whole answer to a short request in seconds.
+/// Time to last token of short requests in seconds.
 inline auto short_whole(const outcome& each) -> std::optional<double>
 {
     if (each.bucket >= short_buckets || !each.whole) {
@@ -110,7 +110,7 @@
     return static_cast<double>(each.whole->count()) / 1e6;
 }
 
-/// First-token time of a short request over that on an idle engine.
+/// Time to first token of a short request divided by that on an idle engine.
 inline auto first_token_slowdown(const outcome& each) -> std::optional<double>
 {
     const auto time = short_first_token(each);
@@ -118,15 +118,15 @@
                 : std::nullopt;
 }
 
-/// Time of the whole answer to a short request over that on an idle engine.
+/// Time to last token of a short request divided by that on an idle engine.
 inline auto whole_slowdown(const outcome& each) -> std::optional<double>
 {
     const auto time = short_whole(each);
     return time ? std::optional(*time * 1e6 / static_cast<double>(each.alone_whole.count())) : std::nullopt;
 }
 
-/// Part of the requests of `bucket` (all of them if there is no such bucket) that a question is true for, in
-/// percent.
+/// Percentage of the requests of `bucket` (of all requests if there is no such bucket) for which `question`
+/// is true.
 inline auto percent(const cell& of, std::size_t bucket, const std::function<bool(const outcome&)>& question)
     -> double
 {
@@ -142,8 +142,7 @@
     return all > 0.0 ? 100.0 * yes / all : 0.0;
 }
 
-/// The p99 of a measure in the mix over the p99 of the same requests with the long ones left out, for each
-/// seed.
+/// Ratio of the p99 of a measure in the full mix to the p99 without the long requests, for each seed, sorted.
 inline auto mix_over_alone(const cell& of, const measure& take) -> std::vector<double>
 {
     std::vector<double> ratios;
--- a/tests/bench/rig_steady.h
+++ b/tests/bench/rig_steady.h
@@ -6,25 +6,26 @@
 
 namespace dragonflymill::rig {
 
-/// The middle three fifths of the traffic, neither warm-up nor run-out, and how busy the engines were in it.
+/// The steady phase: the middle three fifths of the traffic, without start-up and run-out. Measures how busy
+/// the engines are in it.
 class steady_part
 {
 public:
-    /// The part of these requests, which are in order of arrival.
+    /// Determines the phase from `requests`, which are in order of arrival.
     explicit steady_part(const std::vector<rig_request>& requests)
         : first_(requests.front().arrival)
         , all_(requests.back().arrival - requests.front().arrival)
     {
     }
 
-    /// Whether a moment lies in it.
+    /// Whether `at` lies in the steady phase.
     [[nodiscard]] auto covers(instant at) const -> bool
     {
         const duration part = at - first_;
         return part >= all_ / 5 && part < all_ / 5 * 4;
     }
 
-    /// Notes what the engines have worked so far.
+    /// Updates the busy fraction from the time that the engines have worked so far.
     void note(instant now, const std::vector<engine>& engines)
     {
         if (!covers(now)) {
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Part of the engines' time that was spent in steps that prefill.
+    /// Fraction of the engines' time spent in steps that prefill.
     [[nodiscard]] auto busy() const -> double { return busy_; }
 
 private:
--- a/tests/bench/rig_tables.h
+++ b/tests/bench/rig_tables.h
@@ -9,7 +9,7 @@
 
 namespace dragonflymill::rig {
 
-/// A number with so many digits behind the point.
+/// Formats a number with the given number of decimals.
 inline auto digits(double value, int count) -> std::string
 {
     std::ostringstream text;
@@ -17,32 +17,32 @@
     return text.str();
 }
 
-/// Three percentiles as they stand in a table.
+/// Formats three percentiles for a table cell.
 inline auto text_of(const percentiles& of) -> std::string
 {
     return of.count == 0 ? "-" : digits(of.p50, 2) + " / " + digits(of.p95, 2) + " / " + digits(of.p99, 2);
 }
 
-/// The middle one of some sorted values, and the lowest and highest.
+/// Formats the median, minimum and maximum of sorted values.
 inline auto text_of_seeds(const std::vector<double>& sorted) -> std::string
 {
     return digits(sorted[sorted.size() / 2], 2) + " (" + digits(sorted.front(), 2) + " to " +
            digits(sorted.back(), 2) + ")";
 }
 
-/// Whether the request was whole within its limit.
+/// Whether the request was completed within its deadline.
 inline auto was_in_limit(const outcome& each) -> bool
 {
     return each.in_limit;
 }
 
-/// Whether it was refused before anything was sent.
+/// Whether the request was refused before anything was sent to an engine.
 inline auto was_refused(const outcome& each) -> bool
 {
     return each.refused;
 }
 
-/// First-token times by length in Markdown.
+/// Prints time to first token by prompt length in Markdown.
 inline void write_first_tokens(std::ostream& out, const std::vector<cell>& cells)
 {
     out << "First-token time in seconds, p50 / p95 / p99, of prompts that are not overnight work\n\n"
@@ -61,7 +61,7 @@
     }
 }
 
-/// Slowdown of short requests, goodput and refusals in Markdown.
+/// Prints slowdown of short requests, goodput and refusals in Markdown.
 inline void write_service(std::ostream& out, const std::vector<cell>& cells)
 {
     out << "\nShort requests are those of up to 4 k tokens. Slowdown A: p99 in the mix over p99 of the same "
@@ -91,7 +91,7 @@
     }
 }
 
-/// What refusing and pausing does to short requests, and to small accounts, in Markdown.
+/// Prints the effect of refusals and pauses on short requests and on small accounts in Markdown.
 inline void write_overload(std::ostream& out, const std::vector<cell>& cells)
 {
     const auto part = [](const cell& of, const auto& counted, const auto& what) {
@@ -126,7 +126,7 @@
     }
 }
 
-/// What becomes of work of each priority, in Markdown.
+/// Prints the outcomes by priority in Markdown.
 inline void write_priorities(std::ostream& out, const std::vector<cell>& cells)
 {
     constexpr std::array<double, work_priority_count> worth{16.0, 4.0, 1.0};
@@ -157,7 +157,7 @@
     }
 }
 
-/// Every figure as a line of its own.
+/// Writes every figure as a line of CSV.
 inline void write_csv(std::ostream& out, const std::vector<cell>& cells)
 {
     out << "policy,load_percent,measure,bucket,seed,value\n";
@@ -182,7 +182,8 @@
     }
 }
 
-/// The p99 slowdown (A, first token) of short requests over load, a line a policy, as an SVG picture.
+/// Writes an SVG plot of the p99 first-token slowdown (A) of short requests over load, with a line per
+/// policy.
 inline void write_plot(std::ostream& out, const std::vector<cell>& cells)
 {
     constexpr std::array<const char*, 6> colours{"#0b6", "#06c", "#c60", "#909", "#c22", "#555"};
--- a/tests/bench/rig_traffic.h
+++ b/tests/bench/rig_traffic.h
@@ -13,16 +13,16 @@
 
 namespace dragonflymill::rig {
 
-/// Lengths that are reported apart.
+/// Prompt length bucket; buckets are reported separately.
 struct length_bucket
 {
-    const char* name;   ///< As it stands in tables.
+    const char* name;   ///< Name in tables.
     token_count tokens; ///< Nominal length.
-    double part;        ///< Part of the requests.
-    duration limit;     ///< Time limit of a whole answer.
+    double part;        ///< Fraction of the requests.
+    duration limit;     ///< Deadline of a complete response.
 };
 
-/// Two in a hundred are over a hundred thousand tokens.
+/// Two percent of the requests exceed 100,000 tokens.
 inline constexpr std::array<length_bucket, 6> buckets{{{"1 k", 1'000, 0.50, 30s},
                                                        {"4 k", 4'000, 0.28, 30s},
                                                        {"16 k", 16'000, 0.14, 45s},
@@ -30,27 +30,27 @@
                                                        {"256 k", 256'000, 0.019, 120s},
                                                        {"1 M", 1'000'000, 0.001, 300s}}};
 
-/// Buckets below this index are the short requests.
+/// Number of buckets with short requests; they come first.
 inline constexpr std::size_t short_buckets = 2;
 
-/// One request of the mix.
+/// One request of the generated traffic.
 struct rig_request
 {
-    std::uint32_t id = 0;                           ///< Index.
-    std::size_t bucket = 0;                         ///< Its length bucket.
-    instant arrival;                                ///< When it comes.
-    token_count prompt = 0;                         ///< Length of its prompt.
-    token_count output = 0;                         ///< Length of its answer.
-    std::uint64_t document = 0;                     ///< Equal prompts have equal documents.
-    std::uint64_t prefix = 0;                       ///< Equal beginnings; 0 for none.
-    token_count prefix_tokens = 0;                  ///< Length of that beginning.
-    work_priority priority = work_priority::normal; ///< How urgent it is.
-    client_account_id account;                      ///< Whose it is.
-    bool large_account = false;                     ///< One of the three that send six in ten.
-    duration limit{0};                              ///< Its time limit.
+    std::uint32_t id = 0;                           ///< Index of the request.
+    std::size_t bucket = 0;                         ///< Index of the length bucket.
+    instant arrival;                                ///< Arrival time.
+    token_count prompt = 0;                         ///< Prompt length in tokens.
+    token_count output = 0;                         ///< Response length in tokens.
+    std::uint64_t document = 0;                     ///< Identifies the prompt; equal for equal prompts.
+    std::uint64_t prefix = 0;                       ///< Identifies a shared prefix; 0 for none.
+    token_count prefix_tokens = 0;                  ///< Length of the shared prefix in tokens.
+    work_priority priority = work_priority::normal; ///< Priority of the request.
+    client_account_id account;                      ///< Client account.
+    bool large_account = false; ///< Whether the account is one of the three that send 60 % of the requests.
+    duration limit{0};          ///< Time from arrival to the deadline.
 };
 
-/// What `tokens` of prefill, behind `begin` others, take of an engine, in microseconds.
+/// Engine time in microseconds to prefill `tokens` tokens after the first `begin`.
 inline auto work_of(const engine_settings& engine, token_count begin, token_count tokens) -> double
 {
     const auto count = static_cast<double>(tokens);
@@ -60,8 +60,7 @@
     return steps * static_cast<double>(step.count()) + count / engine.prefill_rate * 1e6 * depth;
 }
 
-/// The least work that the requests take, in microseconds of an engine: every beginning that came before is
-/// cached.
+/// Minimum engine time of the requests in microseconds, with every prefix that occurred before cached.
 inline auto least_work(const engine_settings& engine, const std::vector<rig_request>& requests) -> double
 {
     std::set<std::uint64_t> seen;
@@ -75,7 +74,7 @@
     return work;
 }
 
-/// `count` requests, as they come at random, with a mean of one a second.
+/// Generates `count` requests with random arrivals, one per second on average.
 inline auto make_requests(std::uint64_t seed, std::size_t count) -> std::vector<rig_request>
 {
     random_source random(seed);
@@ -98,7 +97,7 @@
         const bool again = random.chance(0.2);
         const std::uint64_t which = random.below(8);
         if (again && (each.bucket == 3 || each.bucket == 4)) {
-            // One of a few documents that are asked about again and again.
+            // One of a few documents that recur in many requests.
             each.document = stable_hash(std::to_string(each.bucket * 100 + which));
             each.prompt = bucket.tokens - static_cast<token_count>(which) * bucket.tokens / 40;
         }
@@ -121,8 +120,8 @@
     return requests;
 }
 
-/// `count` requests that come so close together that their least work is `load` of what `engines` engines can
-/// do.
+/// Generates `count` requests whose arrival rate is scaled so that their minimum work is the fraction `load`
+/// of the capacity of `engines` engines.
 inline auto make_traffic(std::uint64_t seed, std::size_t count, double load, std::size_t engines,
                          const engine_settings& engine) -> std::vector<rig_request>
 {
@@ -136,7 +135,7 @@
     return requests;
 }
 
-/// The request as routing sees it.
+/// Converts a request to the input of the router.
 inline auto routed(const rig_request& request) -> route_request
 {
     route_request made;
@@ -154,7 +153,7 @@
     return made;
 }
 
-/// The request as the gateway's dispatchers see it.
+/// Converts a request to the input of the gateway's dispatchers.
 inline auto asked(const rig_request& request) -> gateway_input::completion_arrived
 {
     gateway_input::completion_arrived made;
@@ -171,7 +170,7 @@
     return made;
 }
 
-/// Engine number `i`, as the bundle describes it.
+/// Bundle entry of engine `i`.
 inline auto describe(const engine_settings& engine, std::size_t i) -> upstream_description
 {
     upstream_description made;
--- a/tests/bench/rig_world.h
+++ b/tests/bench/rig_world.h
@@ -17,7 +17,7 @@
 
 namespace dragonflymill::rig {
 
-/// One gateway's decision parts before some engines, on a virtual clock.
+/// Simulation of one gateway's decision code with simulated engines, on a virtual clock.
 template <routing_policy Policy, overload_policy Overload>
 class world
 {
@@ -47,7 +47,7 @@
         overload_.bundle_adopted(in_force);
     }
 
-    /// Runs until every request has ended; what became of them.
+    /// Runs until every request has ended and returns their outcomes.
     auto run() -> const std::vector<outcome>&
     {
         for (const auto& request : requests_) {
@@ -70,7 +70,7 @@
         return outcomes_;
     }
 
-    /// Part of the engines' time that was spent in steps that prefill, while requests came.
+    /// Fraction of the engines' time spent in steps that prefill, in the steady phase.
     [[nodiscard]] auto busy() const -> double { return steady_.busy(); }
 
 private:
--- a/tests/bench/sidecar_cold_start_bench.cpp
+++ b/tests/bench/sidecar_cold_start_bench.cpp
@@ -1,5 +1,5 @@
-// Many gateways before one cold upstream, on a virtual clock: when 90 % of its capacity is back, and whether
-// it ever got more than it carries. Figures repeat to the digit.
+// Simulates many gateways that send to one cold upstream, on a virtual clock: when 90 % of its capacity is
+// allowed again, and whether it ever received more than its capacity. Figures are reproducible exactly.
 
 #include "admission/cold_upstream_rig.h"
 
--- a/tests/bench/sidecar_decision_bench.cpp
+++ b/tests/bench/sidecar_decision_bench.cpp
@@ -1,5 +1,5 @@
-// Processor time of one decision of the sidecar's parts, by how much they hold. Real time: figures vary from
-// run to run, so the middle one of several runs is printed.
+// Measures the time of one decision of the sidecar's components, by the number of entries they hold. Figures
+// are real time and vary between runs, so the median of several rounds is printed.
 
 #include "admission/permit_controller_fixture.h"
 #include "dragonflymill/lease/lease_table.h"
@@ -18,8 +18,8 @@
 
 constexpr int rounds = 9;
 
-/// Nanoseconds a call, the middle one of several rounds of `count` calls.
-auto middle_ns(int count, const std::function<void(int)>& call) -> double
+/// Median nanoseconds per call over several rounds of `count` calls.
+auto median_ns(int count, const std::function<void(int)>& call) -> double
 {
     std::vector<double> all;
     int number = 0;
@@ -50,17 +50,17 @@
     for (std::size_t i = 0; i < held; ++i) {
         static_cast<void>(test::granted(subject, test::at(0s), test::ask_of("g", 1)));
     }
-    print_row("permit: ask, begin, first token, done", held, middle_ns(2'000, [&](int) {
+    print_row("permit: ask, begin, first token, done", held, median_ns(2'000, [&](int) {
                   const auto lease = test::granted(subject, test::at(1s), test::ask_of("g", 1));
                   static_cast<void>(subject.begin(test::at(1s), *lease));
                   subject.first_token(test::at(1s), *lease);
                   subject.done(test::at(1s), *lease, work_outcome::success);
               }));
-    print_row("permit: refusal", held, middle_ns(2'000, [&](int) {
+    print_row("permit: refusal", held, median_ns(2'000, [&](int) {
                   static_cast<void>(test::refused(subject, test::at(1s), test::ask_of("g", 79'999)));
               }));
     print_row("permit: tick", held,
-              middle_ns(200, [&](int) { static_cast<void>(subject.tick(test::at(1s))); }));
+              median_ns(200, [&](int) { static_cast<void>(subject.tick(test::at(1s))); }));
 }
 
 void ledger(std::size_t held)
@@ -80,12 +80,12 @@
         book(test::by_key(test::timed_key(59s, number++)));
     }
     print_row("once: key from submission to answer", held,
-              middle_ns(1'000, [&](int) { book(test::by_key(test::timed_key(59s, number++))); }));
+              median_ns(1'000, [&](int) { book(test::by_key(test::timed_key(59s, number++))); }));
     print_row("once: ticket from issue to answer", held,
-              middle_ns(1'000, [&](int) { book(test::by_ticket(test::mint(subject, test::at(60s)))); }));
+              median_ns(1'000, [&](int) { book(test::by_ticket(test::mint(subject, test::at(60s)))); }));
     const once_call again = test::by_key(test::timed_key(59s, 0));
     print_row("once: replay", held,
-              middle_ns(1'000, [&](int) { static_cast<void>(subject.submit(test::at(60s), again)); }));
+              median_ns(1'000, [&](int) { static_cast<void>(subject.submit(test::at(60s), again)); }));
 }
 
 void leases(std::size_t held)
@@ -100,11 +100,11 @@
     for (std::size_t i = 0; i < held; ++i) {
         hold(-1 - static_cast<int>(i));
     }
-    print_row("lease: hold, then end", held, middle_ns(1'000, [&](int number) {
+    print_row("lease: hold, then end", held, median_ns(1'000, [&](int number) {
                   hold(number);
                   subject.confirmed({false, "request-" + std::to_string(number)});
               }));
-    print_row("lease: renew", held, middle_ns(1'000, [&](int number) {
+    print_row("lease: renew", held, median_ns(1'000, [&](int number) {
                   static_cast<void>(
                       subject.renew(test::at(0s), all[static_cast<std::size_t>(number) % held]));
               }));
@@ -113,7 +113,7 @@
         listed.held.push_back({{false, "request--" + std::to_string(i + 1)}, holding_kind::stream, 100});
     }
     print_row("lease: compare with the engine's inventory", held,
-              middle_ns(5, [&](int) { subject.reconcile(test::at(0s), listed); }));
+              median_ns(5, [&](int) { subject.reconcile(test::at(0s), listed); }));
 }
 
 } // namespace
--- a/tests/bench/sidecar_once_bench.cpp
+++ b/tests/bench/sidecar_once_bench.cpp
@@ -1,6 +1,6 @@
-// Calls that may not be repeated: kind many bookings a restarted home answers with `unknown`, for kind long,
-// and kind many calls are remembered in a megabyte. The first table is on a virtual clock and repeats to the
-// digit.
+// Measures non-idempotent calls: how many bookings a restarted owner answers with `unknown`, for how long,
+// and how many calls the ledger remembers per megabyte. The first table uses a virtual clock and is
+// reproducible exactly.
 
 #include "once/once_fixture.h"
 
@@ -13,9 +13,9 @@
 
 namespace {
 
-/// Bookings a second at one home; the interval between two of them.
+/// Interval between two bookings at one owner.
 constexpr duration between_bookings = 100ms;
-/// Time from the making of a key to its arrival.
+/// Time from the creation of a key to its arrival.
 constexpr duration transit_time = 50ms;
 
 enum class key_kind
@@ -45,7 +45,7 @@
     return "";
 }
 
-/// A home restarts at the start of the clock; callers know nothing of it and send new bookings.
+/// Restarts an owner at time zero while callers, unaware of it, keep sending new bookings.
 auto after_restart(key_kind kind, duration predecessor_lease, duration clock_skew, duration remember_for)
     -> restart_outcome
 {
--- a/tests/bench/state_child.h
+++ b/tests/bench/state_child.h
@@ -17,33 +17,33 @@
 
 namespace dragonflymill::bench {
 
-/// Key of the measured fleet's datagrams.
+/// Datagram key shared by the measured processes.
 inline constexpr const char* fleet_key = "key of the measured fleet";
 
-/// One partner's key, the same in every run.
+/// Private key of a partner, the same in every run.
 inline auto partner_key(char letter) -> ed25519_private_key
 {
     return ed25519_private_key::from_seed(std::string(32, letter)).value();
 }
 
-/// The two partners.
+/// Public keys of the two partners.
 inline auto partners() -> std::vector<partner_entry>
 {
     return {{"birchlog", partner_key('b').public_key()}, {"cooperative", partner_key('c').public_key()}};
 }
 
-/// What a measured process is told on its command line.
+/// Command line arguments of a measured process.
 struct child_arguments
 {
-    std::size_t number = 0;           ///< Its number.
-    std::uint64_t start = 0;          ///< Start of the process.
-    double drop = 0;                  ///< Part of the datagrams dropped on receipt.
-    std::uint16_t service_port = 0;   ///< Configuration service; 0 for none.
-    std::vector<std::string> seeds{}; ///< Gossip addresses to join by.
+    std::size_t number = 0;           ///< Index in the fleet.
+    std::uint64_t start = 0;          ///< Incarnation number of the process.
+    double drop = 0;                  ///< Fraction of datagrams dropped on receipt.
+    std::uint16_t service_port = 0;   ///< Port of the configuration service; 0 for none.
+    std::vector<std::string> seeds{}; ///< Gossip addresses of the seeds to join.
 };
 
-/// One measured process: a control plane that writes what happens to standard output, a line each, with the
-/// host's monotonic time, and obeys words on standard input.
+/// One measured process: a control plane that writes events to standard output, one line each with the host's
+/// monotonic time, and reads commands from standard input.
 class state_child
 {
 public:
--- a/tests/bench/state_fleet.h
+++ b/tests/bench/state_fleet.h
@@ -24,29 +24,29 @@
 
 namespace dragonflymill::bench {
 
-/// What a measured process said last.
+/// Latest state reported by a measured process.
 struct child_view
 {
-    std::string gossip_address;     ///< Where it gossips.
-    std::string peer_address;       ///< Where peers fetch from it.
-    std::uint64_t version = 0;      ///< Version in force.
-    std::uint64_t lowest_after = 0; ///< Lowest version seen in force since its start, 0 if none yet.
-    std::int64_t version_time = 0;  ///< When it came into force, monotonic, in microseconds.
-    std::size_t alive = 0;          ///< Other processes believed alive.
-    std::size_t dead = 0;           ///< Other processes believed dead.
-    std::int64_t dead_time = 0;     ///< When the number of dead ones last rose.
-    std::size_t drained = 0;        ///< Failure domains out of service.
-    std::int64_t drained_time = 0;  ///< When that last changed.
+    std::string gossip_address;     ///< Gossip address.
+    std::string peer_address;       ///< Address from which peers fetch.
+    std::uint64_t version = 0;      ///< Bundle version in force.
+    std::uint64_t lowest_after = 0; ///< Lowest version in force since the start; 0 if none yet.
+    std::int64_t version_time = 0;  ///< When the version came into force, in monotonic microseconds.
+    std::size_t alive = 0;          ///< Number of other processes considered alive.
+    std::size_t dead = 0;           ///< Number of other processes considered dead.
+    std::int64_t dead_time = 0;     ///< When the number of dead processes last rose.
+    std::size_t drained = 0;        ///< Number of drained failure domains.
+    std::int64_t drained_time = 0;  ///< When the number of drained domains last changed.
     std::array<std::uint64_t, 6>
-        stats{};                   ///< Bytes sent, received, fetched; service reads; CPU time; peak memory.
-    std::uint64_t stats_count = 0; ///< Answers to `stats` so far.
+        stats{}; ///< Bytes sent, received and fetched; service reads; CPU time (us); peak memory (KiB).
+    std::uint64_t stats_count = 0; ///< Number of responses to `stats` so far.
 };
 
-/// One measured process and the pipes to it.
+/// One measured process and the pipes connected to it.
 class fleet_process
 {
 public:
-    /// Starts this program again as a measured process.
+    /// Starts this program as a child that runs as a measured process.
     fleet_process(const std::string& program, const std::vector<std::string>& arguments)
     {
         std::array<int, 2> to{};
@@ -81,7 +81,7 @@
     auto operator=(const fleet_process&) -> fleet_process& = delete;
     ~fleet_process() { end(SIGTERM); }
 
-    /// Ends the process with a signal.
+    /// Sends a signal that ends the process, and waits for its exit.
     void end(int signal)
     {
         if (pid_ > 0) {
@@ -92,16 +92,16 @@
             reader_.join();
         }
     }
-    /// Whether it was not ended.
+    /// Whether the process has not been ended.
     [[nodiscard]] auto running() const -> bool { return pid_ > 0; }
-    /// Asks for its counts.
+    /// Requests statistics from the process.
     void ask_stats()
     {
         if (write(input_, "stats\n", 6) < 0) {
             std::perror("write");
         }
     }
-    /// What it said last.
+    /// Latest reported state.
     [[nodiscard]] auto view() const -> child_view
     {
         const std::lock_guard lock(mutex_);
@@ -164,11 +164,11 @@
     child_view view_;
 };
 
-/// Some measured processes on 127.0.0.1.
+/// The measured processes, on 127.0.0.1.
 class fleet
 {
 public:
-    /// Starts `size` processes; each joins by the first two.
+    /// Starts `size` processes; the first two are the seeds.
     fleet(std::string program, std::size_t size, double drop, std::uint16_t service_port)
         : program_(std::move(program))
         , drop_(drop)
@@ -184,14 +184,14 @@
         }
     }
 
-    /// Starts a process anew, with an empty memory.
+    /// Kills a process and starts it again without any state.
     void restart(std::size_t number, std::uint64_t start_number)
     {
         processes[number]->end(SIGKILL);
         processes[number] = start(number, start_number);
     }
 
-    /// Waits until `condition()` holds; false if it does not in `longest`.
+    /// Waits until `condition()` holds; false if it does not within `longest`.
     template <typename Condition>
     [[nodiscard]] static auto wait(Condition condition, duration longest) -> bool
     {
@@ -213,7 +213,7 @@
         });
     }
 
-    /// Counts of every running process, asked for now.
+    /// Requests and returns the statistics of every running process.
     [[nodiscard]] auto stats() -> std::vector<std::array<std::uint64_t, 6>>
     {
         std::vector<std::array<std::uint64_t, 6>> all_stats;
--- a/tests/bench/state_run.h
+++ b/tests/bench/state_run.h
@@ -22,7 +22,7 @@
 inline constexpr int changes = 5;
 inline constexpr duration idle_time = 15s;
 
-/// A bundle of the planned size; `note` changes one account.
+/// A bundle of the planned fleet size; `note` changes one account.
 inline auto planned_bundle(std::uint64_t version, std::uint32_t note) -> bundle
 {
     bundle value;
@@ -73,7 +73,7 @@
     return made;
 }
 
-/// Middle and largest of some times.
+/// Median and maximum of some durations.
 struct spread
 {
     double p50 = 0;
@@ -99,27 +99,29 @@
     return runtime::now().time_since_epoch().count();
 }
 
-/// What one size of fleet gave.
+/// Results for one fleet size.
 struct row
 {
     std::size_t processes = 0;
     double join_s = 0;
-    spread down_ms;        ///< Service down: a push to one process until in force, all changes and processes.
-    spread up_ms;          ///< Service up: publication until in force.
-    double stale_s = 0;    ///< Service stale: a third of the fleet restarts until all are in force again.
-    bool reverted = false; ///< Whether an older bundle came into force anywhere.
-    spread drain_ms;       ///< An operator's word until known.
-    spread dead_ms;        ///< A killed process until believed dead.
+    spread down_ms; ///< Service down: time from a push to one process until in force, over all changes and
+                    ///< processes.
+    spread up_ms;   ///< Service up: time from publication until in force.
+    double stale_s = 0; ///< Service stale: time from the restart of a third of the fleet until the bundle is
+                        ///< in force everywhere.
+    bool reverted = false; ///< Whether an older bundle came into force at any process.
+    spread drain_ms;       ///< Time from an operator's drain command until known.
+    spread dead_ms;        ///< Time from a kill until the process is considered dead.
     std::size_t false_deaths = 0;
-    double sent_per_s = 0; ///< Bytes a second and process while nothing changes.
+    double sent_per_s = 0; ///< Bytes per second and process without changes.
     double received_per_s = 0;
     double cpu_percent = 0;
-    double change_bytes = 0; ///< Bytes fetched by a process for a change.
+    double change_bytes = 0; ///< Bytes fetched per process for one change.
     double memory_mb = 0;
     bool complete = true;
 };
 
-/// Measures one size of fleet.
+/// Measures one fleet size.
 class state_run
 {
 public:
@@ -283,7 +285,7 @@
         result_.up_ms = spread_of(times);
     }
 
-    // A failure domain restarts as a whole while the service shows an older bundle.
+    // Restarts a whole failure domain while the configuration service serves an older bundle.
     void restart_third()
     {
         post("/_fault", R"({"stale":true})");
--- a/tests/bench/state_spread_bench.cpp
+++ b/tests/bench/state_spread_bench.cpp
@@ -1,7 +1,7 @@
-// Measures the state that holds without a store, with real processes on loopback: time until a bundle is in
-// force at the last process, with the configuration service up, down and stale, with datagrams dropped by the
-// receiver; time until a drain is known everywhere; detection of a dead process; bytes and processor time.
-// Usage: state_spread_bench [processes...]; 8 32 96 if none are given.
+// Measures state replication without a central store, with real processes on loopback: time until a bundle is
+// in force at the last process, with the configuration service up, down and stale, and with datagrams dropped
+// by the receiver; time until every process knows of a drain; time to detect a dead process; bytes and
+// processor time. Usage: state_spread_bench [processes...]; 8 32 96 if none are given.
 
 #include "state_run.h"
 
@@ -14,9 +14,9 @@
 
 constexpr double planned_processes = 1'010;
 
-/// Value at the planned size of the straight line through (x(processes), y).
-auto worked_out(const std::vector<row>& rows, const std::function<double(double)>& x,
-                const std::function<double(const row&)>& y) -> double
+/// Extrapolates the line through (x(processes), y) to the planned fleet size.
+auto extrapolate_to_plan(const std::vector<row>& rows, const std::function<double(double)>& x,
+                         const std::function<double(const row&)>& y) -> double
 {
     double sum_x = 0;
     double sum_y = 0;
@@ -47,7 +47,7 @@
             std::printf("%10.2f", y(each));
         }
         const auto x = [by_doubling](double size) { return by_doubling ? std::log2(size) : size; };
-        std::printf("%12.2f  by %s\n", worked_out(rows, x, y), by_doubling ? "doubling" : "process");
+        std::printf("%12.2f  by %s\n", extrapolate_to_plan(rows, x, y), by_doubling ? "doubling" : "process");
     };
     line(
         "join, all know all, s", [](const row& r) { return r.join_s; }, false);
