--- a/tests/bench/account_share_bench.cpp
+++ b/tests/bench/account_share_bench.cpp
@@ -32,22 +32,23 @@
     const auto cut = size * 2 / 5;
     std::fill_n(even.side.begin(), cut, 1);
     even.spread_membership();
-    const auto parting = even.run(8s);
-    const auto apart = even.run(60s);
+    const auto partition_onset = even.run(8s);
+    const auto partitioned = even.run(60s);
     std::fill_n(even.side.begin(), cut, 0);
     even.spread_membership();
     even.run(20s);
-    const auto dies = even.home(0);
-    even.paused[dies] = true;
+    const auto failed_owner = even.home(0);
+    even.paused[failed_owner] = true;
     even.spread_membership();
     const auto after_death = even.run(8s);
-    const auto later = even.run(60s);
+    const auto minute_later = even.run(60s);
     limiter_simulation one(size, 2);
     one.demand[0] = 3 * limit;
     one.run(20s);
-    const auto alone = one.run(60s);
+    const auto one_requesting = one.run(60s);
     std::printf("| %zu | %.1f | %.1f | %.1f | %.1f | %.1f | %.1f |\n", size, percent(undisturbed),
-                percent(alone), percent(parting), percent(apart), percent(after_death), percent(later));
+                percent(one_requesting), percent(partition_onset), percent(partitioned), percent(after_death),
+                percent(minute_later));
 }
 
 /// Measures one of `size` gateways that spreads its requests over `accounts` accounts; the owners grant equal
--- a/tests/bench/sidecar_decision_bench.cpp
+++ b/tests/bench/sidecar_decision_bench.cpp
@@ -40,7 +40,7 @@
     std::printf("| %s | %zu | %.0f |\n", what, held, ns);
 }
 
-void gate(std::size_t held)
+void measure_permits(std::size_t held)
 {
     permit_controller_options options = test::gate_options();
     options.ramp.floor = 100'000;
@@ -63,7 +63,7 @@
               median_ns(200, [&](int) { static_cast<void>(subject.tick(test::at(1s))); }));
 }
 
-void ledger(std::size_t held)
+void measure_once_ledger(std::size_t held)
 {
     once_ledger_options options = test::ledger_options(1);
     options.max_calls = 200'000;
@@ -88,7 +88,7 @@
               median_ns(1'000, [&](int) { static_cast<void>(subject.submit(test::at(60s), again)); }));
 }
 
-void leases(std::size_t held)
+void measure_leases(std::size_t held)
 {
     lease_table subject({.max_holdings = 200'000}, 1);
     const process_id owner("g");
@@ -122,13 +122,13 @@
 {
     std::printf("| decision | held | ns |\n|---|---|---|\n");
     for (const std::size_t held : {std::size_t{16}, std::size_t{256}, std::size_t{4'096}}) {
-        gate(held);
+        measure_permits(held);
     }
     for (const std::size_t held : {std::size_t{100}, std::size_t{5'000}, std::size_t{50'000}}) {
-        ledger(held);
+        measure_once_ledger(held);
     }
     for (const std::size_t held : {std::size_t{16}, std::size_t{256}, std::size_t{4'096}}) {
-        leases(held);
+        measure_leases(held);
     }
     return 0;
 }
