--- a/tests/process/caller_faults_test.cpp
+++ b/tests/process/caller_faults_test.cpp
@@ -14,7 +14,7 @@
 
 using boost::asio::ip::tcp;
 
-/// A caller that doesn't speak as it should.
+/// A caller that sends raw bytes, to violate HTTP on purpose.
 class raw_caller
 {
 public:
@@ -43,7 +43,7 @@
 
 FAULT_CELL_MORE(request_intake, message_lost, slow_caller)
 {
-    // A caller sends half a header and then nothing. Others are served meanwhile.
+    // A caller that sends half a request head and then stalls must not block other callers.
     process_fleet fleet;
     raw_caller slow(fleet.gateway("gateway-1"));
     slow.send("POST /v1/completions HTTP/1.1\r\nHost: a\r\nContent-Le");
@@ -52,8 +52,8 @@
 
 FAULT_CELL_MORE(request_intake, message_lost, half_closed_caller)
 {
-    // A caller closes its sending half behind its request, as some tools do. It gets an answer or an end, the
-    // engines hold nothing afterwards, and others are served.
+    // Some clients shut down their sending half after the request. Such a caller must get a response or a
+    // closed connection, the engines must release its call, and other callers must be served.
     process_fleet fleet;
     raw_caller caller(fleet.gateway("gateway-1"));
     const auto call = fleet.completion("gateway-1", 100, 4);
@@ -70,18 +70,18 @@
 
 FAULT_CELL_MORE(request_intake, message_reordered, malformed_and_wrong_key)
 {
-    // Bytes that are no HTTP, a body that is no JSON, and a key that nobody has: each is refused as such, and
-    // reaches no engine.
+    // Bytes that are not HTTP, a body that is not JSON, and an unknown API key must each be refused with the
+    // matching status before they reach an engine, and the gateway must still serve valid calls.
     process_fleet fleet;
     raw_caller caller(fleet.gateway("gateway-1"));
     caller.send("\x16\x03\x01 no request at all\r\n\r\n");
     const auto refused = caller.read_to_end();
     cr_assert(refused.empty() || refused.find(" 400 ") != std::string::npos, "%s", refused.c_str());
     cr_assert(standins::call_and_wait(fleet.call("gateway-1", "/v1/completions", "{")).status == 400);
-    auto stranger = fleet.completion("gateway-1", 100, 4);
-    stranger.headers.front().second = "Bearer nobody";
-    const auto told = standins::call_and_wait(stranger);
-    cr_assert(told.status == 401, "%u %s", told.status, told.body.c_str());
-    cr_assert(told.body.find(R"("ran":"no")") != std::string::npos, "%s", told.body.c_str());
+    auto unauthorized = fleet.completion("gateway-1", 100, 4);
+    unauthorized.headers.front().second = "Bearer nobody";
+    const auto response = standins::call_and_wait(unauthorized);
+    cr_assert(response.status == 401, "%u %s", response.status, response.body.c_str());
+    cr_assert(response.body.find(R"("ran":"no")") != std::string::npos, "%s", response.body.c_str());
     cr_assert(is_whole_answer(standins::call_and_wait(fleet.completion("gateway-1", 100, 4)), 100, 4));
 }
--- a/tests/process/config_faults_test.cpp
+++ b/tests/process/config_faults_test.cpp
@@ -6,22 +6,21 @@
 
 namespace {
 
-/// Watches a process that was killed and started again: it must not say at any moment that it runs by an
-/// older bundle.
-auto comes_back_by(const process_fleet& fleet, const std::string& name, std::int64_t version) -> bool
+/// Whether a restarted process reports `version` as its first bundle in force, and still does afterwards.
+auto restarts_with_bundle(const process_fleet& fleet, const std::string& name, std::int64_t version) -> bool
 {
     std::int64_t seen = 0;
-    const bool back = comes_true([&] { return (seen = fleet.bundle_of(name)) != 0; });
-    return back && seen == version && fleet.bundle_of(name) == version;
+    const bool ready = comes_true([&] { return (seen = fleet.bundle_of(name)) != 0; });
+    return ready && seen == version && fleet.bundle_of(name) == version;
 }
 
 } // namespace
 
 FAULT_CELL_MORE(bundle_spread, two_faults, service_down_then_stale)
 {
-    // The configuration service is down when both partners need a change at once; an operator pushes it to
-    // one gateway. The service comes back and shows what it had before. Then a gateway and a sidecar are
-    // killed and start with nothing but the old bundle's file: nobody may ever serve by the old one again.
+    // The configuration service is down while both partners need an urgent change, so an operator pushes the
+    // new bundle to one gateway. The service recovers with the old bundle. A gateway and a sidecar are then
+    // killed and restart with only the old bundle's file. No process may put the old bundle in force again.
     fleet_options options;
     options.config_service = true;
     process_fleet fleet(options);
@@ -34,10 +33,10 @@
     fleet.files().ask_peers_at_start();
     fleet.kill("gateway-2");
     fleet.start_gateway("gateway-2");
-    cr_assert(comes_back_by(fleet, "gateway-2", 2));
+    cr_assert(restarts_with_bundle(fleet, "gateway-2", 2));
     fleet.kill("sidecar-engine-1");
     fleet.start_sidecar("engine-1");
-    cr_assert(comes_back_by(fleet, "engine-1", 2));
+    cr_assert(restarts_with_bundle(fleet, "engine-1", 2));
     cr_assert(fleet.all_run_by(2));
     cr_assert(is_whole_answer(standins::call_and_wait(fleet.completion("gateway-2", 100, 4)), 100, 4));
 }
